--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -2,10 +2,11 @@
 
 pub mod budget;
 pub mod classify;
-pub mod confirm;
+pub mod confirmation;
 pub mod departure;
 pub mod detect;
 pub mod duty;
+pub mod failover;
 pub mod fair;
 pub mod floors;
 pub mod group;
@@ -15,7 +16,6 @@
 pub mod position;
 pub mod reach;
 pub mod readers;
-pub mod replace;
 pub mod returns;
 pub mod route;
 pub mod setup;
--- a/src/decisions/departure.rs
+++ b/src/decisions/departure.rs
@@ -1,51 +1,51 @@
-//! How long ago a member said that it leaves, as far as a box knows.
+//! How long ago a member announced that it leaves, as far as a box knows.
 //!
-//! What a leaving member still gets is bounded from its word on. A box that hears of it
-//! late, or has just started, must not count from its own clock alone: so the age that the
-//! word had when the box heard it goes along.
+//! The time for which a leaving member is still sent statements runs from its announcement.
+//! A box may learn of the announcement late, so the announcement's age at that time is
+//! recorded too.
 
 use std::time::Duration;
 
-/// A member's word that it leaves, or that the list names it no more.
+/// A member's announcement that it leaves, or the removal of its entry from the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Departure {
-    /// When this box heard of it.
-    heard: Duration,
-    /// Age of the word by then, at the most; none where nobody can tell.
+    /// When this box learned of the departure.
+    learned: Duration,
+    /// Maximum age of the announcement at that time; `None` if unknown.
     age: Option<Duration>,
 }
 
 impl Departure {
-    /// A word of this age, at the most, was heard.
-    pub fn heard(now: Duration, age: Option<Duration>) -> Self {
-        Self { heard: now, age }
+    /// Creates a departure learned of now, whose announcement is at most `age` old.
+    pub fn with_age(now: Duration, age: Option<Duration>) -> Self {
+        Self { learned: now, age }
     }
 
-    /// A word that was heard as it was said.
-    pub fn said(now: Duration) -> Self {
-        Self::heard(now, Some(Duration::ZERO))
+    /// Creates a departure announced now.
+    pub fn announced(now: Duration) -> Self {
+        Self::with_age(now, Some(Duration::ZERO))
     }
 
-    /// Age of the word; none where nobody can tell.
+    /// Returns the maximum age of the announcement; `None` if unknown.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        Some(self.age? + now.saturating_sub(self.heard))
+        Some(self.age? + now.saturating_sub(self.learned))
     }
 
-    /// The same with an age of at most `most`: an entry that is listed no more may only have
-    /// lapsed, and has some time to come back in any case.
-    pub fn at_most(self, most: Duration) -> Self {
+    /// Limits the age to `most`. A missing entry may only have lapsed, and gets some time to
+    /// reappear in any case.
+    pub fn cap_age(self, most: Duration) -> Self {
         let age = self.age.map_or(most, |age| age.min(most));
-        Self::heard(self.heard, Some(age))
+        Self::with_age(self.learned, Some(age))
     }
 
-    /// Whether it was heard as long ago as that.
-    pub fn was_heard(&self, ago: Duration, now: Duration) -> bool {
-        now >= self.heard + ago
+    /// Whether this box learned of the departure at least `ago` before `now`.
+    pub fn known_for(&self, ago: Duration, now: Duration) -> bool {
+        now >= self.learned + ago
     }
 
-    /// When the word is as old as that: at once where its age can't be told.
-    pub fn due(&self, age: Duration) -> Duration {
+    /// Returns when the announcement reaches `age`: at once if its age is unknown.
+    pub fn time_at_age(&self, age: Duration) -> Duration {
         let known = self.age.unwrap_or(Duration::MAX);
-        self.heard + age.saturating_sub(known)
+        self.learned + age.saturating_sub(known)
     }
 }
--- a/src/decisions/duty.rs
+++ b/src/decisions/duty.rs
@@ -1,11 +1,12 @@
-//! Who may order a promotion, and under which generation number.
+//! The duty: the right to order promotions in a group, with a generation number as
+//! fencing token.
 //!
-//! A ballot at the members already lets only one box promote at a time. The duty
-//! adds a number that rises from order to order, for a platform that wants one. It
-//! follows from the ballot: the term that is replaced, how far the ballot's term is
-//! above it, and the box. So the numbers of two orders compare as their ballots do,
-//! also where one of the boxes has no table. In the table stands the least number of
-//! whoever holds the duty; it is taken by a conditional commit.
+//! A ballot among the members already lets only one box promote at a time. The duty adds
+//! the fencing token that the platform expects: a number that rises with every order. It
+//! consists of the replaced term, the offset of the ballot's term above it, and the box, so
+//! two orders compare as their ballots do, even if one of the boxes can't reach the table.
+//! The table holds the least generation of the current holder; a box claims the duty with
+//! a conditional commit.
 
 use std::sync::Arc;
 
@@ -14,60 +15,60 @@
 
 use crate::borders::table::Revision;
 
-/// Numbers of one ballot; a box takes the one that its name hashes to.
-const LANES: u64 = 4_096;
-/// Ballots that one term is told apart by. With 29 bits left for terms a number stays
-/// exact as a float.
-const TURNS: u64 = 4_096;
+/// Generations per ballot. Each box uses the one that its name hashes to.
+const BOX_SLOTS: u64 = 4_096;
+/// Distinguishable ballots per replaced term. Leaves 29 bits for the term, so that a
+/// generation is exact as a 64-bit float.
+const BALLOTS_PER_TERM: u64 = 4_096;
 
-/// The duty for one group, as last taken.
+/// The duty for one group, as last claimed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Duty {
-    /// The box that holds it.
+    /// The box that holds the duty.
     pub holder: Arc<str>,
-    /// Least number of its orders.
+    /// Least generation of the holder's orders.
     pub generation: u64,
-    /// Revision of the row, which the next one to take it must name.
+    /// Revision of the row, which the next claim must name.
     #[serde(skip)]
     pub revision: Revision,
 }
 
-/// The duty as this box has taken it.
+/// This box's claim of the duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
     pub duty: Duty,
-    /// The table gave no answer: others may not know of the claim.
-    pub alone: bool,
+    /// Whether the table gave no answer, so that other boxes may not know of the claim.
+    pub unconfirmed: bool,
 }
 
-/// What the number of an order follows from.
+/// The ballot that a generation is derived from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ballot {
     /// Term that the promotion ends.
     pub replaced: u64,
-    /// How far the ballot's term, or a later one that was seen, is above it.
-    pub turn: u64,
+    /// Offset of the ballot's term, or of a later promise that was seen, above `replaced`.
+    pub term_offset: u64,
 }
 
 impl Ballot {
-    /// Least number of `holder` for an order after this ballot.
-    pub fn number(&self, holder: &str) -> u64 {
-        let ballot = self.replaced * TURNS + self.turn.min(TURNS - 1);
-        ballot * LANES + lane(holder)
+    /// Returns the least generation of `holder` for an order after this ballot.
+    pub fn generation(&self, holder: &str) -> u64 {
+        let ballot = self.replaced * BALLOTS_PER_TERM + self.term_offset.min(BALLOTS_PER_TERM - 1);
+        ballot * BOX_SLOTS + box_slot(holder)
     }
 }
 
 impl Claim {
-    /// The number of an order after `ballot`.
-    pub fn number(&self, ballot: &Ballot) -> u64 {
+    /// Returns the generation of an order after `ballot`.
+    pub fn generation(&self, ballot: &Ballot) -> u64 {
         let least = self.duty.generation;
-        ballot.number(&self.duty.holder).max(least)
+        ballot.generation(&self.duty.holder).max(least)
     }
 
-    /// Whether an order may still go out: nobody else is known to have taken the duty
-    /// since, nor the table to be an older copy, which may lack the claim and grant it to
-    /// another.
-    pub fn stands(&self, known: Option<&Duty>) -> bool {
+    /// Whether an order may still go out: no other box is known to have claimed the duty
+    /// since, and the table isn't known to have become an older copy. Such a copy may lack
+    /// this claim and grant the duty to another box.
+    pub fn is_current(&self, known: Option<&Duty>) -> bool {
         let Some(known) = known else {
             return true;
         };
@@ -77,19 +78,19 @@
     }
 }
 
-fn lane(holder: &str) -> u64 {
-    xxh3_64(holder.as_bytes()) % LANES
+fn box_slot(holder: &str) -> u64 {
+    xxh3_64(holder.as_bytes()) % BOX_SLOTS
 }
 
-/// The duty as `holder` takes it from `known` before a ballot.
-pub fn taken(known: Option<&Duty>, holder: &Arc<str>, ballot: &Ballot) -> Duty {
+/// Returns the duty that `holder` claims before `ballot`, following the `known` one.
+pub fn next_duty(known: Option<&Duty>, holder: &Arc<str>, ballot: &Ballot) -> Duty {
     let after = known.map_or(0, |known| match known.holder == *holder {
         true => known.generation,
-        false => (known.generation / LANES + 1) * LANES + lane(holder),
+        false => (known.generation / BOX_SLOTS + 1) * BOX_SLOTS + box_slot(holder),
     });
     Duty {
         holder: holder.clone(),
-        generation: ballot.number(holder).max(after),
+        generation: ballot.generation(holder).max(after),
         revision: known.map_or(Revision::NONE, |known| known.revision),
     }
 }
--- a/src/decisions/replace/ballot.rs
+++ b/src/decisions/failover/ballot.rs
@@ -1,4 +1,4 @@
-//! The ballot: members are fenced, leases run out or are revoked, one is promoted.
+//! The ballot: a box fences members under a new term and promotes one of those that grant it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,7 +7,8 @@
 use crate::borders::member::{MemberError, Status};
 use crate::decisions::duty::Ballot;
 
-impl Replace {
+impl Failover {
+    /// Starts a ballot and fences all members.
     pub(super) fn fence(&mut self, now: Duration) -> Vec<Step> {
         let term = self.start_ballot(now, None);
         let ask = |member: &usize| Step::Fence {
@@ -17,34 +18,34 @@
         self.members.iter().map(ask).collect()
     }
 
-    pub(super) fn start_ballot(&mut self, now: Duration, rest: Option<Duration>) -> u64 {
+    pub(super) fn start_ballot(&mut self, now: Duration, others_due: Option<Duration>) -> u64 {
         let term = self.next_term();
-        self.known = self.highest.max(self.replaced());
-        self.ours = term;
-        self.highest = term;
-        self.seen = self.seen.max(term);
+        self.promised_before_ballot = self.highest_promise.max(self.replaced_term());
+        self.ballot_term = term;
+        self.highest_promise = term;
+        self.highest_seen = self.highest_seen.max(term);
         self.phase = Phase::Fencing {
             term,
             since: now,
             granted: BTreeMap::new(),
             refused: BTreeSet::new(),
-            rest,
+            others_due,
         };
         term
     }
 
-    /// Term of this box's next ballot.
+    /// Returns the term of this box's next ballot.
     fn next_term(&self) -> u64 {
-        // Where members take one term from several boxes, each has its own.
-        let lane = match self.settings.fences_end {
+        // These members grant a term to any box that asks, so each rank uses its own terms.
+        let rank_offset = match self.settings.promotion_clears_fences {
             true => u64::from(self.rank),
             false => 0,
         };
-        self.highest.max(self.replaced()) + 1 + lane
+        self.highest_promise.max(self.replaced_term()) + 1 + rank_offset
     }
 
-    /// What the number of an order follows from: after the present ballot, or after
-    /// the next one while there is none.
+    /// Returns the ballot under way, or else the next one, as the basis of a generation
+    /// number.
     pub fn ballot(&self) -> Ballot {
         let term = match self.phase {
             Phase::Fencing { term, .. }
@@ -52,19 +53,19 @@
             | Phase::Promoting { term, .. } => term,
             _ => self.next_term(),
         };
-        // Promises that were taken back may have led to an order too.
-        let later = match self.seen > term {
-            true => self.seen + 1,
+        // Another box may have ordered a promotion under a promise that was released since.
+        let highest = match self.highest_seen > term {
+            true => self.highest_seen + 1,
             false => term,
         };
-        let replaced = self.replaced();
+        let replaced = self.replaced_term();
         Ballot {
             replaced,
-            turn: later.saturating_sub(replaced),
+            term_offset: highest.saturating_sub(replaced),
         }
     }
 
-    /// Fences a leaving primary first, so that the others receive its last writes.
+    /// Fences a leaving primary first, so that the replicas can receive its last writes.
     pub(super) fn fence_leaving(&mut self, now: Duration) -> Vec<Step> {
         let Some(member) = self.primary.filter(|_| !self.settings.catch_up.is_zero()) else {
             return self.fence(now);
@@ -73,12 +74,16 @@
         vec![Step::Fence { member, term }]
     }
 
-    pub(super) fn fence_rest(&mut self) -> Vec<Step> {
+    /// Fences the members other than the leaving primary.
+    pub(super) fn fence_others(&mut self) -> Vec<Step> {
         let primary = self.primary;
-        let Phase::Fencing { term, rest, .. } = &mut self.phase else {
+        let Phase::Fencing {
+            term, others_due, ..
+        } = &mut self.phase
+        else {
             return Vec::new();
         };
-        *rest = None;
+        *others_due = None;
         let term = *term;
         let others = self.members.iter().filter(|m| Some(**m) != primary);
         let ask = |member: &usize| Step::Fence {
@@ -88,16 +93,17 @@
         others.map(ask).collect()
     }
 
-    /// Takes a member's answer to a fence.
-    pub fn fenced(
+    /// Records a member's answer to a fence, and ends the fencing phase once a majority has
+    /// granted the term or can't grant it any more.
+    pub fn handle_fence_answer(
         &mut self,
         member: usize,
-        asked: u64,
+        fence_term: u64,
         answer: &Result<Status, MemberError>,
         now: Duration,
     ) -> Vec<Step> {
         if let Err(MemberError::Fenced { promised }) = answer {
-            self.note_promised(*promised, now);
+            self.record_promise(*promised, now);
         }
         let majority = self.majority();
         let acceptors = &self.acceptors;
@@ -112,8 +118,8 @@
             // A late grant may show a greater log.
             Phase::Waiting { term, granted, .. } => {
                 if let Ok(status) = answer
-                    && *term == asked
-                    && status.promised == asked
+                    && *term == fence_term
+                    && status.promised == fence_term
                 {
                     granted.insert(member, *status);
                 }
@@ -121,7 +127,7 @@
             }
             _ => return Vec::new(),
         };
-        if term != asked {
+        if term != fence_term {
             return Vec::new();
         }
         match answer {
@@ -136,7 +142,7 @@
         let refused = refused.iter().filter(counted).count();
         let grants = granted.keys().filter(counted).count();
         if acceptors.len() - refused < majority {
-            return self.lose(term, now);
+            return self.fail_ballot(term, now);
         }
         if grants < majority {
             return Vec::new();
@@ -147,8 +153,8 @@
             since,
             until: now + self.settings.lease,
             granted,
-            holding: BTreeMap::new(),
-            looked: None,
+            kept_at: BTreeMap::new(),
+            probed: None,
         };
         match self.settings.lease.is_zero() {
             true => self.promote(now),
@@ -156,20 +162,20 @@
         }
     }
 
-    /// Names the winner once no lease of the old term is left.
+    /// Chooses the member to promote. Called once no box holds a lease on an earlier term.
     pub(super) fn promote(&mut self, now: Duration) -> Vec<Step> {
         let Phase::Waiting { term, granted, .. } = &self.phase else {
             return Vec::new();
         };
         let term = *term;
-        let mut avoid = self.avoid.clone();
+        let mut avoid = self.leaving.clone();
         avoid.extend(self.primary);
         let stays = |member: &usize| !avoid.contains(member);
         let majority = match self.settings.prefer_staying && granted.keys().any(stays) {
             true => 1,
             false => self.majority(),
         };
-        let granted = self.in_line(granted);
+        let granted = self.eligible(granted);
         let winner = winner(&granted, &avoid, majority);
         self.phase = Phase::Promoting {
             term,
@@ -182,44 +188,44 @@
         }]
     }
 
-    /// Those who may win: without former primaries whose log may have gone its own way,
-    /// unless nobody else granted. What such a log holds beyond the present term's
-    /// history was lost with the promotion before; readers since then have not seen it,
-    /// and it must not come back.
-    fn in_line(&self, granted: &BTreeMap<usize, Status>) -> BTreeMap<usize, Status> {
-        let strayed = |(member, status): &(&usize, &Status)| {
+    /// Returns the granting members that may be promoted: all but former primaries whose
+    /// logs may have diverged, unless no other member granted. Entries that only such a log
+    /// holds were lost in an earlier failover; reads since then haven't shown them, so they
+    /// must not reappear.
+    fn eligible(&self, granted: &BTreeMap<usize, Status>) -> BTreeMap<usize, Status> {
+        let diverged = |(member, status): &(&usize, &Status)| {
             self.deposed.contains(member) && status.log.term < self.term
         };
-        let in_line = granted.iter().filter(|entry| !strayed(entry));
-        let in_line: BTreeMap<usize, Status> = in_line.map(|(m, s)| (*m, *s)).collect();
-        match in_line.is_empty() {
+        let eligible = granted.iter().filter(|entry| !diverged(entry));
+        let eligible: BTreeMap<usize, Status> = eligible.map(|(m, s)| (*m, *s)).collect();
+        match eligible.is_empty() {
             true => granted.clone(),
-            false => in_line,
+            false => eligible,
         }
     }
 
-    /// Takes the winner's answer to its promotion.
-    pub fn promoted(
+    /// Records the winner's answer to its promotion.
+    pub fn handle_promotion_answer(
         &mut self,
-        asked: u64,
+        promoted_term: u64,
         answer: &Result<Status, MemberError>,
         now: Duration,
     ) -> Vec<Step> {
         let Phase::Promoting { term, winner, .. } = self.phase else {
             return Vec::new();
         };
-        if term != asked {
+        if term != promoted_term {
             return Vec::new();
         }
         if let Err(MemberError::Fenced { promised }) = answer {
-            self.note_promised(*promised, now);
+            self.record_promise(*promised, now);
         }
         let Ok(status) = answer else {
-            return self.lose(term, now);
+            return self.fail_ballot(term, now);
         };
-        // Where fences end, the new primary leads the term after the old one, which
-        // may be below the term of the ballot.
-        let term = match self.settings.fences_end {
+        // Where a promotion clears fences, the new primary's term follows the old primary's
+        // and may be lower than the ballot's.
+        let term = match self.settings.promotion_clears_fences {
             true => status.log.term,
             false => term,
         };
@@ -230,19 +236,19 @@
         }]
     }
 
-    pub(super) fn lose(&mut self, term: u64, now: Duration) -> Vec<Step> {
-        let until = now + self.settings.again * (1 + 2 * self.rank);
-        self.phase = Phase::Resting { until };
-        self.note_stray(now);
+    /// Ends the ballot and backs off, longer for higher ranks.
+    pub(super) fn fail_ballot(&mut self, term: u64, now: Duration) -> Vec<Step> {
+        let until = now + self.settings.poll_interval * (1 + 2 * self.rank);
+        self.phase = Phase::Cooldown { until };
+        self.record_orphaned(now);
         vec![Step::Lost { term }]
     }
 }
 
-/// The granting member with the greatest log.
+/// Returns the granting member with the greatest log.
 ///
-/// Any majority's greatest log holds all that was acknowledged. So the doubted
-/// primary and those that leave are left out where the others are a majority
-/// without them.
+/// The greatest log of any majority holds every acknowledged write, so the members in
+/// `avoid` are passed over where at least `majority` others have granted.
 fn winner(granted: &BTreeMap<usize, Status>, avoid: &BTreeSet<usize>, majority: usize) -> usize {
     let others = granted
         .keys()
--- a/src/decisions/replace/restarting.rs
+++ b/src/decisions/failover/restarting.rs
@@ -1,34 +1,34 @@
-//! Members that start again in the middle of a replacement.
+//! Members that restart during a failover.
 
 use std::time::Duration;
 
 use super::*;
 
-impl Replace {
-    /// A member that started again has a new place. It may have its log still: a former
-    /// primary stays one that strayed.
-    pub fn rename(&mut self, earlier: usize, member: usize) {
+impl Failover {
+    /// Moves a restarted member to its new index. The member may have kept its log, so a
+    /// former primary still counts as deposed.
+    pub fn move_member(&mut self, earlier: usize, member: usize) {
         if self.primary == Some(earlier) {
             self.primary = Some(member);
         }
-        for places in [&mut self.members, &mut self.deposed, &mut self.avoid] {
+        for places in [&mut self.members, &mut self.deposed, &mut self.leaving] {
             if places.remove(&earlier) {
                 places.insert(member);
             }
         }
-        if let Some(stray) = &mut self.stray {
-            stray.rename(earlier, member);
+        if let Some(orphaned) = &mut self.orphaned {
+            orphaned.move_member(earlier, member);
         }
         self.set_acceptors();
     }
 
-    /// Drops what the earlier start granted and showed: it has forgotten its fence, and a
-    /// majority that rests on it is none.
-    pub fn restarted(&mut self, earlier: usize, member: usize, now: Duration) -> Vec<Step> {
+    /// Drops what the member granted and reported before its restart. The restarted member
+    /// has forgotten its fence, so a majority that includes that grant no longer holds.
+    pub fn handle_restart(&mut self, earlier: usize, member: usize, now: Duration) -> Vec<Step> {
         let majority = self.majority();
         let acceptors = &self.acceptors;
         match &mut self.phase {
-            Phase::Doubt { replicas, .. } => {
+            Phase::Suspecting { replicas, .. } => {
                 replicas.remove(&earlier);
                 Vec::new()
             }
@@ -36,38 +36,38 @@
                 term,
                 granted,
                 refused,
-                rest,
+                others_due,
                 ..
             } => {
                 granted.remove(&earlier);
                 refused.remove(&earlier);
-                let asked = rest.is_none() || self.primary == Some(member);
+                let is_due = others_due.is_none() || self.primary == Some(member);
                 let ask = Step::Fence {
                     member,
                     term: *term,
                 };
-                asked.then_some(ask).into_iter().collect()
+                is_due.then_some(ask).into_iter().collect()
             }
             Phase::Waiting {
                 term,
                 granted,
-                holding,
+                kept_at,
                 ..
             } => {
                 granted.remove(&earlier);
-                holding.remove(&earlier);
+                kept_at.remove(&earlier);
                 let counted = granted.keys().filter(|place| acceptors.contains(place));
                 match counted.count() < majority {
                     true => {
                         let term = *term;
-                        self.lose(term, now)
+                        self.fail_ballot(term, now)
                     }
                     false => Vec::new(),
                 }
             }
             Phase::Promoting { term, winner, .. } if *winner == earlier => {
                 let term = *term;
-                self.lose(term, now)
+                self.fail_ballot(term, now)
             }
             _ => Vec::new(),
         }
--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -20,16 +20,16 @@
 use rand::rngs::SmallRng;
 use serde::Serialize;
 
-use super::confirm::{Confirm, Need, Outcome};
+use super::confirmation::{Need, Outcome, Waiters};
 use super::departure::Departure;
 use super::detect::Detector;
 use super::detect::baseline::Baseline;
 use super::duty::Ballot;
+use super::failover::{Failover, Step, Trigger};
 use super::fair::{Admission, Due, Fair};
 use super::latency::Latency;
 use super::owners::{LEAST_SHARE, share};
 use super::position::Position;
-use super::replace::{Doubt, Replace, Step};
 use super::route::{Candidate, Demand, History, choose};
 use crate::borders::member::{Bid, MemberError, Role, Status};
 use crate::declarations::resource::{Durability, Member as MemberSpec};
@@ -180,8 +180,8 @@
     settings: Settings,
     domain: Arc<str>,
     members: Vec<Member>,
-    replace: Replace,
-    confirm: Confirm,
+    replace: Failover,
+    confirm: Waiters,
     history: History,
     /// Newest position of our term that a majority is known to hold.
     held: Position,
@@ -249,11 +249,11 @@
         let member = |spec: &MemberSpec| Member::new(spec.clone(), capacity, &settings, now);
         let members: Vec<Member> = plan.members.iter().map(member).collect();
         let mut group = Self {
-            replace: Replace::new(settings.replace, members.len(), rank),
+            replace: Failover::new(settings.replace, members.len(), rank),
             settings,
             domain,
             members,
-            confirm: Confirm::default(),
+            confirm: Waiters::default(),
             history: History::default(),
             held: Position::ZERO,
             waiting: Waiting::default(),
@@ -337,8 +337,8 @@
     pub fn bid(&self, term: u64) -> Bid {
         Bid {
             term,
-            replaced: self.replace.replaced(),
-            known: self.replace.known(),
+            replaced: self.replace.replaced_term(),
+            known: self.replace.promised_before_ballot(),
         }
     }
 
@@ -426,7 +426,7 @@
             } => {
                 let need = self.read_need(term, position);
                 let since = match need {
-                    Need::Holds(_) | Need::Received(_) => now,
+                    Need::Held(_) | Need::Received(_) => now,
                     Need::Unfenced(_) => since,
                 };
                 self.verify(id, need, since, deadline, now, &mut out);
@@ -443,29 +443,29 @@
                 term,
                 answer,
             } => {
-                let steps = self.replace.fenced(member, term, &answer, now);
+                let steps = self.replace.handle_fence_answer(member, term, &answer, now);
                 self.take_steps(steps, now, &mut out);
             }
             Event::Claimed { won } => {
-                let steps = self.replace.claimed(won, now);
+                let steps = self.replace.handle_claim(won, now);
                 self.take_steps(steps, now, &mut out);
             }
-            Event::DutyTaken => self.replace.note_foreign(now),
+            Event::DutyTaken => self.replace.record_rival_claim(now),
             Event::Revoke => self.revoke(now),
             Event::Revoked { term } => {
-                let steps = self.replace.revoked(term, now);
+                let steps = self.replace.handle_revoked(term, now);
                 self.take_steps(steps, now, &mut out);
             }
             Event::Listed { listed } => self.listed = listed,
             Event::Promoted { term, answer } => {
-                let steps = self.replace.promoted(term, &answer, now);
+                let steps = self.replace.handle_promotion_answer(term, &answer, now);
                 self.take_steps(steps, now, &mut out);
             }
             Event::Opinion {
                 from,
                 near,
                 suspects,
-            } => self.replace.opinion(from, near, suspects),
+            } => self.replace.record_opinion(from, near, suspects),
             Event::News { term, primary } => self.news(term, &primary, now, &mut out),
         }
         self.tick(now, &mut out);
@@ -516,7 +516,7 @@
         });
         let ballot = match self.settings.patient {
             true => placing::PATIENT_END,
-            false => self.settings.replace.ballot,
+            false => self.settings.replace.ballot_timeout,
         };
         let parked = self.waiting.parked.values();
         let parked = parked.map(|request| request.deadline.saturating_sub(ballot));
@@ -528,7 +528,8 @@
         let look = look.zip(self.members.iter().filter_map(|m| m.probed).max());
         let look = look.map(|(gap, probed)| probed + gap);
         let departing = self.members.iter().filter(|m| !m.spent && !m.gone);
-        let spent = departing.filter_map(|m| Some(m.departs?.due(m.serves_for(&self.settings))));
+        let spent =
+            departing.filter_map(|m| Some(m.departs?.time_at_age(m.serves_for(&self.settings))));
         let replace = self.replace.wake().into_iter();
         let replace = replace.chain(self.hand_over).chain(spent);
         let all = probes.chain(parked).chain(floorless).chain(lagging);
--- a/src/decisions/group/confirming.rs
+++ b/src/decisions/group/confirming.rs
@@ -30,7 +30,7 @@
         if Self::settle_now(id, outcome, out) {
             return;
         }
-        let need = Need::Holds(position);
+        let need = Need::Held(position);
         self.confirm.add(id, need, Some(member), now, deadline);
         self.want_for_confirmation(now);
     }
@@ -66,7 +66,7 @@
     pub(super) fn read_need(&self, term: u64, position: Option<Position>) -> Need {
         let sure = self.plan.group.durability != Durability::Majority;
         match position {
-            Some(position) if !sure && position > self.held => Need::Holds(position),
+            Some(position) if !sure && position > self.held => Need::Held(position),
             _ => Need::Unfenced(term),
         }
     }
--- a/src/decisions/group/membership.rs
+++ b/src/decisions/group/membership.rs
@@ -82,13 +82,13 @@
             // Its entry may only have lapsed.
             let told = match member.spec.leaving {
                 true => told,
-                false => told.map(|told| told.at_most(most.saturating_sub(grace))),
+                false => told.map(|told| told.cap_age(most.saturating_sub(grace))),
             };
             let departs = told.or(member.departs);
-            let departs = departs.unwrap_or_else(|| Departure::said(now));
+            let departs = departs.unwrap_or_else(|| Departure::announced(now));
             member.departs = leaves.then_some(departs);
             member.serve_most = leaves.then_some(most);
-            let over = |departs: Departure| now >= departs.due(most);
+            let over = |departs: Departure| now >= departs.time_at_age(most);
             member.spent &= member.departs.is_some_and(over);
         }
     }
@@ -103,7 +103,9 @@
         let mut fresh = false;
         for (i, member) in self.members.iter_mut().enumerate() {
             let most = member.serves_for(&self.settings);
-            let over = member.departs.filter(|departs| now >= departs.due(most));
+            let over = member
+                .departs
+                .filter(|departs| now >= departs.time_at_age(most));
             let Some(departs) = over.filter(|_| !member.spent) else {
                 continue;
             };
@@ -160,7 +162,7 @@
     }
 
     pub(super) fn note_members(&mut self) {
-        let lasts = self.settings.replace.fences_end;
+        let lasts = self.settings.replace.promotion_clears_fences;
         let alone = self.plan.group.durability == Durability::Primary;
         self.replace.set_prefer_staying(lasts && alone);
         let leaving = self.present().filter(|i| self.members[*i].spec.leaving);
--- a/src/decisions/group/message.rs
+++ b/src/decisions/group/message.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::borders::member::{MemberError, Status};
-use crate::decisions::confirm::Outcome;
+use crate::decisions::confirmation::Outcome;
 use crate::decisions::position::Position;
 
 /// Where a statement may run.
--- a/src/decisions/group/observing.rs
+++ b/src/decisions/group/observing.rs
@@ -29,7 +29,7 @@
 
     /// Whether a report can be true.
     pub(super) fn sane(&self, status: &Status) -> bool {
-        let near = status.promised <= self.replace.highest() + MOST_TERMS_AHEAD;
+        let near = status.promised <= self.replace.highest_promise() + MOST_TERMS_AHEAD;
         let ordered = status.log.term <= status.promised && status.log.covers(status.applied);
         near && ordered
     }
@@ -72,10 +72,10 @@
         if Some(member) == self.replace.primary && status.promised == self.replace.term {
             self.history.observe(began, status.log.index);
         }
-        let counts = self.replace.accepts(member) && self.vouches(member, now);
+        let counts = self.replace.is_acceptor(member) && self.vouches(member, now);
         if counts && !self.is_demoted(member) {
             let majority = self.replace.majority();
-            let vouches = !self.settings.replace.fences_end;
+            let vouches = !self.settings.replace.promotion_clears_fences;
             let ended = self
                 .confirm
                 .observe(member, &status, began, majority, vouches);
@@ -91,7 +91,7 @@
 
     /// A member was seen without a fence.
     fn note_clear(&mut self, member: usize, status: &Status, began: Duration) {
-        let fences_end = self.settings.replace.fences_end;
+        let fences_end = self.settings.replace.promotion_clears_fences;
         if Some(member) == self.replace.primary {
             if status.role == Role::Primary {
                 self.keep(member, began);
@@ -140,8 +140,8 @@
     pub(super) fn settle_leased(&mut self, now: Duration, out: &mut Vec<Action>) {
         let term = self.replace.term;
         let ended = match (self.is_leased(now), self.verified(now)) {
-            (true, _) => self.confirm.leased(term),
-            (false, Some(moment)) => self.confirm.unreplaced(term, moment),
+            (true, _) => self.confirm.confirm_leased(term),
+            (false, Some(moment)) => self.confirm.confirm_unreplaced(term, moment),
             (false, None) => return,
         };
         Self::settle(ended, out);
@@ -156,7 +156,7 @@
         let reports = self.members.iter().filter(|member| !member.gone);
         let promised = reports.filter_map(|member| member.status().map(|s| s.promised));
         if let Some(highest) = promised.max() {
-            self.replace.note_promises(highest);
+            self.replace.set_highest_promise(highest);
         }
     }
 
@@ -269,7 +269,7 @@
 
     /// What changes with the term: old waits end, the others are told to follow.
     pub(super) fn enter_term(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let ended = self.confirm.abandon(self.replace.term);
+        let ended = self.confirm.end_older_terms(self.replace.term);
         Self::settle(ended, out);
         self.history.clear();
         for member in &mut self.members {
--- a/src/decisions/group/passing.rs
+++ b/src/decisions/group/passing.rs
@@ -18,10 +18,10 @@
         self.update_suspicions(now, out);
         let left = self.has_left(now, out);
         let doubt = match self.replace.primary {
-            Some(primary) if left && !self.members[primary].suspected => Doubt::Left,
-            Some(primary) if !self.members[primary].suspected => Doubt::None,
-            None if now < self.born + self.settings.detect.period => Doubt::None,
-            _ => Doubt::Suspected,
+            Some(primary) if left && !self.members[primary].suspected => Trigger::Drained,
+            Some(primary) if !self.members[primary].suspected => Trigger::None,
+            None if now < self.born + self.settings.detect.period => Trigger::None,
+            _ => Trigger::Suspected,
         };
         let steps = self.replace.tick(doubt, now);
         self.take_steps(steps, now, out);
@@ -64,9 +64,9 @@
         let patience = self.settings.replace.stagger * self.replace.rank();
         let served = self.settings.serve_leaving;
         let idle = served || self.members[primary].fair.running() == 0 && self.confirm.is_empty();
-        let due = departs.due(self.settings.leave_grace) + patience;
+        let due = departs.time_at_age(self.settings.leave_grace) + patience;
         let most = self.members[primary].serves_for(&self.settings);
-        let forced = departs.due(most) + patience;
+        let forced = departs.time_at_age(most) + patience;
         let next = [due, forced].into_iter().find(|moment| now < *moment);
         let left = (idle && now >= due) || now >= forced;
         self.hand_over = match left {
@@ -105,8 +105,8 @@
         let mut noted = false;
         for step in steps {
             match step {
-                Step::Ask => out.push(Action::Ask),
-                Step::Look => self.want_all(),
+                Step::AskPeers => out.push(Action::Ask),
+                Step::ProbeMembers => self.want_all(),
                 Step::Claim => out.push(Action::Claim),
                 Step::Revoke { term } => {
                     self.revoke(now);
@@ -204,7 +204,7 @@
             return self.want_for_lease(now);
         }
         for (i, member) in self.members.iter_mut().enumerate() {
-            member.wanted |= self.confirm.wants(i);
+            member.wanted |= self.confirm.needs_probe(i);
         }
     }
 
@@ -218,7 +218,7 @@
             let shown = member.status().map(|status| status.log.index);
             late(member.clear) || shown < newest
         };
-        let acceptors = self.present().filter(|i| self.replace.accepts(*i));
+        let acceptors = self.present().filter(|i| self.replace.is_acceptor(*i));
         let (late, fresh): (Vec<usize>, Vec<usize>) =
             acceptors.partition(|i| late(self.members[*i].kept));
         let mut needed = self.replace.majority().saturating_sub(fresh.len());
--- a/src/decisions/group/placing.rs
+++ b/src/decisions/group/placing.rs
@@ -51,7 +51,7 @@
 
     pub(super) fn sees_majority(&self) -> bool {
         let trusted = |(i, member): &(usize, &Member)| {
-            self.replace.accepts(*i) && !member.suspected && member.view.is_some()
+            self.replace.is_acceptor(*i) && !member.suspected && member.view.is_some()
         };
         let members = self.members.iter().enumerate();
         members.filter(trusted).count() >= self.replace.majority()
@@ -60,7 +60,8 @@
     /// Whether a majority is seen, or may be: a member that was not heard of yet may
     /// only have no connection to spare for a moment.
     pub(super) fn may_see_majority(&self) -> bool {
-        let hoped = |(i, member): &(usize, &Member)| self.replace.accepts(*i) && !member.suspected;
+        let hoped =
+            |(i, member): &(usize, &Member)| self.replace.is_acceptor(*i) && !member.suspected;
         let members = self.members.iter().enumerate();
         members.filter(hoped).count() >= self.replace.majority()
     }
@@ -85,7 +86,7 @@
                 ..Refusal::new(Reason::CutOff, wait)
             });
         }
-        if let Some(name) = self.replace.reaching().next() {
+        if let Some(name) = self.replace.peers_reaching_primary().next() {
             return Some(Refusal {
                 via: Via::Named(name.clone()),
                 ..Refusal::new(Reason::CutOff, self.settings.cut_off_retry)
@@ -95,7 +96,7 @@
             let wait = self.settings.cut_off_retry;
             return Some(Refusal::new(Reason::NoSuccessor, wait));
         }
-        let remaining = self.replace.remaining(now);
+        let remaining = self.replace.expected_remaining(now);
         let needed = match self.settings.patient {
             true => PATIENT_END,
             false => remaining,
@@ -286,7 +287,7 @@
 
     fn majority_kept(&self, now: Duration) -> Option<Duration> {
         let ours = |(i, member): (usize, &Member)| {
-            let kept = member.kept.filter(|_| self.replace.accepts(i))?;
+            let kept = member.kept.filter(|_| self.replace.is_acceptor(i))?;
             self.vouches(i, now).then_some(kept)
         };
         let members = self.members.iter().enumerate();
--- a/src/decisions/group/restarting.rs
+++ b/src/decisions/group/restarting.rs
@@ -34,7 +34,7 @@
         }
         self.members.push(member);
         let new = self.members.len() - 1;
-        self.replace.rename(place, new);
+        self.replace.move_member(place, new);
         self.restarted.push((place, new));
         new
     }
@@ -46,10 +46,10 @@
         }
         for (earlier, member) in std::mem::take(&mut self.restarted) {
             out.push(Action::Note(Note::Restarted { member }));
-            self.confirm.forget(earlier);
+            self.confirm.forget_member(earlier);
             // What a majority was seen to hold may be held by fewer now.
             self.held = Position::ZERO;
-            let steps = self.replace.restarted(earlier, member, now);
+            let steps = self.replace.handle_restart(earlier, member, now);
             self.take_steps(steps, now, out);
         }
         self.requeue(now, out);
@@ -71,7 +71,7 @@
         let Some(earlier) = self.members[place].earlier else {
             return true;
         };
-        if now >= earlier.heard + self.settings.replace.settled {
+        if now >= earlier.heard + self.settings.replace.settle_time {
             return true;
         }
         let seen = |other: usize| {
--- a/src/decisions/group/settings.rs
+++ b/src/decisions/group/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::decisions::detect::baseline::Settings as DetectSettings;
-use crate::decisions::replace::Settings as ReplaceSettings;
+use crate::decisions::failover::Settings as ReplaceSettings;
 
 /// Settings of the decisions about a group.
 #[derive(Clone, Copy, Debug)]
--- a/src/node/configuration/departures.rs
+++ b/src/node/configuration/departures.rs
@@ -36,7 +36,7 @@
     /// Whether the word is taken back: by the member itself, or since it started again. An
     /// older copy of the table that lists the member as it was before takes nothing back.
     fn is_over(&self, listed: Option<&Listed>, now: Duration) -> bool {
-        let remembered = !self.departure.was_heard(REMEMBERED, now);
+        let remembered = !self.departure.known_for(REMEMBERED, now);
         let Some(listed) = listed else {
             return !remembered;
         };
@@ -83,7 +83,7 @@
             let era = last.revision.era();
             let known = self.known.entry(key.clone()).or_insert_with(|| Departed {
                 member: last.member.clone(),
-                departure: Departure::heard(now, age),
+                departure: Departure::with_age(now, age),
                 era,
             });
             // Said again after an older copy, it is the same word.
@@ -103,7 +103,7 @@
             let age = Duration::from_millis(age);
             let own = known.departure.age(now);
             if own.is_none_or(|own| age > own + OLDER) {
-                known.departure = Departure::heard(now, Some(age));
+                known.departure = Departure::with_age(now, Some(age));
                 learned = true;
             }
         }
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -20,7 +20,7 @@
 use crate::borders::member::Member;
 use crate::borders::roster::Listing;
 use crate::borders::table::Pace;
-use crate::decisions::confirm::Outcome;
+use crate::decisions::confirmation::Outcome;
 use crate::decisions::duty::Claim;
 use crate::decisions::group::{Action, Event, Group, Request, Settings};
 use crate::decisions::owners::Ranking;
--- a/src/node/driver/acting.rs
+++ b/src/node/driver/acting.rs
@@ -108,7 +108,7 @@
                 let claim = owned.claim.clone();
                 let order = claim.as_ref().map_or_else(Order::default, |claim| Order {
                     holder: claim.duty.holder.clone(),
-                    generation: claim.number(&owned.group.ballot()),
+                    generation: claim.generation(&owned.group.ballot()),
                 });
                 let context = self.context.clone();
                 let group = id.clone();
@@ -212,7 +212,7 @@
             // Another box may take itself for an owner by an older list.
             return;
         }
-        if owned.claim.as_ref().is_some_and(|claim| claim.alone) {
+        if owned.claim.as_ref().is_some_and(|claim| claim.unconfirmed) {
             // Without the table the list may be old.
             return;
         }
--- a/src/node/duty.rs
+++ b/src/node/duty.rs
@@ -5,7 +5,7 @@
 
 use super::context::Context;
 use crate::borders::table::{Commit, Verdict, Write};
-use crate::decisions::duty::{Ballot, Claim, Duty, taken};
+use crate::decisions::duty::{Ballot, Claim, Duty, next_duty};
 use crate::events;
 
 /// Rows of duties, by group.
@@ -24,7 +24,7 @@
     listed: bool,
 ) -> Option<Claim> {
     let known = context.snapshot.borrow().duties.get(group).cloned();
-    let mut duty = taken(known.as_ref(), &context.settings.name, ballot);
+    let mut duty = next_duty(known.as_ref(), &context.settings.name, ballot);
     // Also who holds the duty writes it again, so that of two only one goes on.
     let change = commit(group, &duty);
     let committed = tokio::time::timeout(TABLE_WAIT, context.table.commit(&change)).await;
@@ -43,13 +43,16 @@
     let fields: [(_, &dyn std::fmt::Display); 2] =
         [("group", group), ("generation", &duty.generation)];
     events::emit(&context.log, &events::DUTY_TAKEN, &fields);
-    Some(Claim { duty, alone })
+    Some(Claim {
+        duty,
+        unconfirmed: alone,
+    })
 }
 
 /// Whether an order under `claim` may still go out, as far as the table is known.
 pub fn stands(context: &Context, group: &Arc<str>, claim: &Claim) -> bool {
     let snapshot = context.snapshot.borrow();
-    claim.stands(snapshot.duties.get(group))
+    claim.is_current(snapshot.duties.get(group))
 }
 
 fn commit(group: &Arc<str>, duty: &Duty) -> Commit {
--- a/src/node/message.rs
+++ b/src/node/message.rs
@@ -8,7 +8,7 @@
 
 use super::exchange::Flow;
 use crate::borders::roster::Listing;
-use crate::decisions::confirm::Outcome;
+use crate::decisions::confirmation::Outcome;
 use crate::decisions::duty::Claim;
 use crate::decisions::group::{Event, GroupDump, Refusal, Target};
 use crate::decisions::position::Position;
--- a/src/node/once.rs
+++ b/src/node/once.rs
@@ -14,7 +14,7 @@
 use super::place::Place;
 use super::pool::Pooled;
 use crate::borders::upstream::{Answer, Keyed};
-use crate::decisions::confirm::Outcome;
+use crate::decisions::confirmation::Outcome;
 use crate::decisions::group::Target;
 
 /// Time between two attempts.
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -16,7 +16,7 @@
 use super::pool::{Pool, Pooled};
 use crate::borders::upstream::{Answer, ConnectError, Unrun, UpstreamError, Verdict};
 use crate::decisions::budget::Budget;
-use crate::decisions::confirm::Outcome;
+use crate::decisions::confirmation::Outcome;
 use crate::decisions::group::{Event, Reason, Refusal, Target, Via};
 use crate::decisions::position::Position;
 use crate::events;
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::decisions::detect::baseline::Settings as Detect;
+use crate::decisions::failover::{Corroboration, Settings as Replace};
 use crate::decisions::group::Settings;
-use crate::decisions::replace::{Corroboration, Settings as Replace};
 
 /// Time after its word from which nothing may reach a leaving member, where the platform
 /// states no other.
@@ -29,25 +29,25 @@
             // A claim and the fences take 30 ms: the next in rank sees them in time.
             stagger: Duration::from_millis(250),
             // Peers answer within 10 ms; each question costs them one too.
-            again: Duration::from_millis(150),
+            poll_interval: Duration::from_millis(150),
             // A status and a fence, each behind a full queue.
-            ballot: Duration::from_millis(1_200),
+            ballot_timeout: Duration::from_millis(1_200),
             // Another box's ballot, its wait for leases, and its promotion.
-            abandoned: Duration::from_millis(3_500),
+            abandon_timeout: Duration::from_millis(3_500),
             // The wait for leases, a ballot's time until the order, and 600 ms for it.
-            settled: Duration::from_millis(2_700),
+            settle_time: Duration::from_millis(2_700),
             // A lease, a look, and the platform's 300 to 600 ms.
-            courtesy: Duration::from_millis(1_800),
+            rival_backoff: Duration::from_millis(1_800),
             // First suspicion to new primary took 0.8 to 1.7 s.
-            expected: Duration::from_millis(2_500),
+            expected_duration: Duration::from_millis(2_500),
             // The platform takes 300 to 600 ms for it.
-            promotion: Duration::from_millis(3_000),
+            promotion_timeout: Duration::from_millis(3_000),
             // Long enough that ordinary answers renew it; 500 ms cost more looks.
             lease: Duration::from_millis(800),
             // Several ways between failure domains, 1.4 ms each.
             catch_up: Duration::from_millis(30),
-            fences_end: true,
-            claims: true,
+            promotion_clears_fences: true,
+            requires_claim: true,
             corroboration: Corroboration::Majority,
             ..Replace::default()
         },
--- a/tests/unit/configuration.rs
+++ b/tests/unit/configuration.rs
@@ -223,9 +223,12 @@
             revision: Revision::new(2, 25),
             ..known
         },
-        alone: false,
+        unconfirmed: false,
     };
-    expect_that!(claim.stands(store.snapshot().duties.get("g")), eq(false));
+    expect_that!(
+        claim.is_current(store.snapshot().duties.get("g")),
+        eq(false)
+    );
     let later = [held(3, 30, "c", 120)];
     let known = told(&mut store, false, Revision::new(3, 30), &later);
     expect_that!(*known.holder, eq("c"));
--- a/tests/unit/copies.rs
+++ b/tests/unit/copies.rs
@@ -10,7 +10,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use larkfall::borders::table::{Ages, Revision, Scan};
-use larkfall::decisions::duty::{Ballot, Claim, Duty, taken};
+use larkfall::decisions::duty::{Ballot, Claim, Duty, next_duty};
 use larkfall::declarations::resource::Key;
 use larkfall::declarations::snapshot::Snapshot;
 use larkfall::node::configuration::{Departures, Store};
@@ -316,9 +316,9 @@
         self.turn += 1;
         let ballot = Ballot {
             replaced: 1,
-            turn: self.turn,
+            term_offset: self.turn,
         };
-        let mut duty = taken(claimant.duty(), &claimant.name, &ballot);
+        let mut duty = next_duty(claimant.duty(), &claimant.name, &ballot);
         let (number, value) = self.tables.row(&place);
         let there = value.map_or(0, |_| number);
         if duty.revision.number() != there {
@@ -329,8 +329,11 @@
         let written = self.tables.put(place, Some(json!(duty)));
         if granted {
             duty.revision = written;
-            let claim = Claim { duty, alone: false };
-            self.orders.push(claim.number(&ballot));
+            let claim = Claim {
+                duty,
+                unconfirmed: false,
+            };
+            self.orders.push(claim.generation(&ballot));
         }
     }
 
--- a/tests/unit/departing.rs
+++ b/tests/unit/departing.rs
@@ -251,7 +251,7 @@
         let departed = departed.filter(|(_, m)| m.word.is_some());
         let departed: Vec<usize> = departed.map(|(i, _)| i).collect();
         for i in departed {
-            let word = Departure::heard(self.now, age);
+            let word = Departure::with_age(self.now, age);
             self.words[by].entry(i).or_insert(word);
         }
     }
@@ -268,7 +268,7 @@
             Due::Ages(by) => {
                 for (i, word) in &mut self.words[by] {
                     let said = self.members[*i].word.expect("it departs");
-                    *word = Departure::heard(self.now, Some(self.now - said));
+                    *word = Departure::with_age(self.now, Some(self.now - said));
                 }
                 self.renew(by);
             }
--- a/tests/unit/fake.rs
+++ b/tests/unit/fake.rs
@@ -1,7 +1,7 @@
-//! A small fake of members and the network around the decisions, in virtual time.
+//! A simulation of members and network around the real decisions, in virtual time.
 //!
-//! Members keep a log of values; owners are the real decisions. Messages are
-//! delayed, lost and cut; members are killed and frozen, owners paused.
+//! Members keep a log of values, and owners run the real decisions. Messages are delayed,
+//! lost and cut off; members are killed and frozen, and owners paused.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use larkfall::borders::member::{MemberError, Role, Status, Stream};
-use larkfall::decisions::confirm::Outcome;
+use larkfall::decisions::confirmation::Outcome;
 use larkfall::decisions::group::{Action, Event, Group, Request, Settings, Target};
 use larkfall::decisions::position::Position;
 use larkfall::declarations::resource::{
@@ -21,23 +21,23 @@
 
 pub const MEMBERS: usize = 3;
 pub const OWNERS: usize = 3;
-const ANSWER_WAIT: Duration = Duration::from_millis(400);
-const STREAM_SILENT: Duration = Duration::from_millis(400);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+const STREAM_TIMEOUT: Duration = Duration::from_millis(400);
 
 pub const fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// What is taken out, to see that the checker notices.
+/// Safeguards that are disabled, to verify that the checker detects the violations.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Without {
-    /// Writes are acknowledged without a majority.
+pub struct Disabled {
+    /// Acknowledges writes without a majority.
     pub confirmation: bool,
-    /// Members grant a term without keeping to it.
+    /// Lets members grant a term without keeping to it.
     pub fences: bool,
-    /// Reads are routed without the session's floor.
+    /// Routes reads without the session's floor.
     pub floors: bool,
-    /// Strict reads are answered without looking at a majority.
+    /// Answers strict reads without checking a majority.
     pub verification: bool,
 }
 
@@ -57,7 +57,7 @@
     primary: Option<usize>,
     up: bool,
     frozen: bool,
-    heard: Duration,
+    last_replicated: Duration,
     broken: bool,
     lag: Duration,
     /// When each entry was received.
@@ -74,7 +74,7 @@
         let stream = match self.role {
             Role::Primary => Stream::None,
             Role::Replica if self.broken => Stream::Broken,
-            Role::Replica if now > self.heard + STREAM_SILENT => Stream::Silent,
+            Role::Replica if now > self.last_replicated + STREAM_TIMEOUT => Stream::Silent,
             Role::Replica => Stream::Live,
         };
         Status {
@@ -122,12 +122,12 @@
         owner: usize,
         event: Event,
     },
-    /// The answer to a run.
+    /// The answer to `Call::Run`.
     Answer {
         owner: usize,
         id: u64,
         began: Duration,
-        answer: Option<Ran>,
+        answer: Option<RunResult>,
     },
     Replicate(usize),
     Apply(usize),
@@ -135,12 +135,12 @@
 }
 
 #[derive(Clone, Debug)]
-struct Ran {
+struct RunResult {
     position: Position,
     values: BTreeSet<u64>,
 }
 
-/// A statement under way, with what it must see.
+/// A statement under way, with the values that it must see.
 #[derive(Clone, Debug)]
 struct Statement {
     session: usize,
@@ -150,36 +150,36 @@
     assigned: Duration,
     member: usize,
     term: u64,
-    /// The member led the term when the statement was assigned to it.
+    /// Whether the owner took the member for the primary when it assigned the statement.
     primary: bool,
     must_see: BTreeSet<u64>,
-    /// What the session had read when the statement arrived.
-    seen: BTreeSet<u64>,
-    ran: Option<Ran>,
+    /// Values that the session had read when the statement arrived.
+    read_values: BTreeSet<u64>,
+    ran: Option<RunResult>,
     running: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Session {
     floor: Option<Position>,
-    own: BTreeSet<u64>,
-    seen: BTreeSet<u64>,
+    own_writes: BTreeSet<u64>,
+    read_values: BTreeSet<u64>,
 }
 
-/// What went wrong, by the checker.
+/// Violations of the guarantees that the checker found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Faults {
-    pub lost: usize,
-    pub stale_own: usize,
-    pub stale_strict: usize,
-    pub too_old: usize,
-    /// Reads that missed what their session had read before.
-    pub backward: usize,
-    pub twice: usize,
-    pub without_primary: usize,
+pub struct Violations {
+    pub lost_writes: usize,
+    pub stale_own_reads: usize,
+    pub stale_strict_reads: usize,
+    pub too_old_reads: usize,
+    /// Reads that missed values which their session had read before.
+    pub backward_reads: usize,
+    pub duplicate_writes: usize,
+    pub missing_primary: usize,
 }
 
-/// How much happened.
+/// Counts of what the run did.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub acknowledged: usize,
@@ -187,31 +187,32 @@
     pub refused: usize,
     pub replica_reads: usize,
     pub primary_reads: usize,
-    pub replacements: usize,
-    /// Moments of acknowledgement.
-    pub acks: Vec<Duration>,
+    pub failovers: usize,
+    /// Times of the acknowledgements.
+    pub ack_times: Vec<Duration>,
 }
 
 pub struct World {
     pub now: Duration,
-    dice: SmallRng,
+    rng: SmallRng,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     deliveries: BTreeMap<u64, Delivery>,
     sequence: u64,
     members: Vec<Member>,
     owners: Vec<Group>,
     paused: Vec<Option<Duration>>,
-    /// Pairs of domains that do not hear each other; owners and members share domains.
+    /// Pairs of failure domains that can't reach each other. Owner `i` and member `i` share
+    /// a domain.
     pub cuts: BTreeSet<(usize, usize)>,
-    /// Members that owners of other domains, or all, do not reach.
+    /// Pairs of an owner and a member that the owner can't reach.
     pub hidden: BTreeSet<(usize, usize)>,
     pub loss: f64,
-    without: Without,
+    disabled: Disabled,
     statements: BTreeMap<u64, Statement>,
     pub sessions: Vec<Session>,
     acknowledged: BTreeMap<u64, Duration>,
-    next: u64,
-    pub faults: Faults,
+    next_id: u64,
+    pub violations: Violations,
     pub counts: Counts,
 }
 
@@ -249,13 +250,13 @@
     })
 }
 
-/// A group at its first owner that knows nothing yet.
-pub fn fresh_group() -> Group {
-    fresh_group_with(|_| {})
+/// Creates a group at its first owner, before any observation.
+pub fn new_group() -> Group {
+    new_group_with(|_| {})
 }
 
-/// The same with other settings.
-pub fn fresh_group_with(set: impl Fn(&mut Settings)) -> Group {
+/// Creates a group as `new_group` does, with changed settings.
+pub fn new_group_with(set: impl Fn(&mut Settings)) -> Group {
     let plan = plan(Durability::Majority);
     let mut settings = Settings::default();
     set(&mut settings);
@@ -263,8 +264,8 @@
 }
 
 impl World {
-    pub fn new(seed: u64, without: Without) -> Self {
-        let durability = match without.confirmation {
+    pub fn new(seed: u64, disabled: Disabled) -> Self {
+        let durability = match disabled.confirmation {
             true => Durability::Primary,
             false => Durability::Majority,
         };
@@ -289,7 +290,7 @@
             primary: Some(0),
             up: true,
             frozen: false,
-            heard: ms(0),
+            last_replicated: ms(0),
             broken: false,
             lag: ms(10),
             received: Vec::new(),
@@ -300,7 +301,7 @@
         members[0] = member;
         let mut world = Self {
             now: ms(0),
-            dice: SmallRng::seed_from_u64(seed),
+            rng: SmallRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             deliveries: BTreeMap::new(),
             sequence: 0,
@@ -310,37 +311,37 @@
             cuts: BTreeSet::new(),
             hidden: BTreeSet::new(),
             loss: 0.0,
-            without,
+            disabled,
             statements: BTreeMap::new(),
             sessions: vec![Session::default(); 6],
             acknowledged: BTreeMap::new(),
-            next: 1,
-            faults: Faults::default(),
+            next_id: 1,
+            violations: Violations::default(),
             counts: Counts::default(),
         };
         for i in 0..OWNERS {
-            world.at(ms(0), Delivery::Wake(i));
+            world.schedule(ms(0), Delivery::Wake(i));
         }
         for i in 0..MEMBERS {
-            world.at(ms(1), Delivery::Replicate(i));
-            world.at(ms(1), Delivery::Apply(i));
+            world.schedule(ms(1), Delivery::Replicate(i));
+            world.schedule(ms(1), Delivery::Apply(i));
         }
         world
     }
 
-    pub fn roll(&mut self, range: std::ops::Range<u64>) -> u64 {
-        self.dice.random_range(range)
+    pub fn random(&mut self, range: std::ops::Range<u64>) -> u64 {
+        self.rng.random_range(range)
     }
 
-    fn at(&mut self, time: Duration, delivery: Delivery) {
+    fn schedule(&mut self, time: Duration, delivery: Delivery) {
         self.sequence += 1;
         self.queue.push(Reverse((time, self.sequence)));
         self.deliveries.insert(self.sequence, delivery);
     }
 
-    /// One way through the network: 1.5 ms and some, more between domains.
+    /// Draws the delay of one message.
     fn delay(&mut self) -> Duration {
-        Duration::from_micros(self.dice.random_range(1_000..3_000))
+        Duration::from_micros(self.rng.random_range(1_000..3_000))
     }
 
     fn is_cut(&self, owner: usize, member: usize) -> bool {
@@ -351,12 +352,12 @@
         self.cuts.contains(&(a.min(b), a.max(b)))
     }
 
-    fn lost(&mut self) -> bool {
+    fn drops_message(&mut self) -> bool {
         let loss = self.loss;
-        self.dice.random_bool(loss)
+        self.rng.random_bool(loss)
     }
 
-    // Faults.
+    // Fault injection.
 
     pub fn kill(&mut self, member: usize) {
         self.members[member].up = false;
@@ -364,7 +365,7 @@
             if !self.is_cut(owner, member) {
                 let at = self.now + self.delay();
                 let event = Event::Broken { member };
-                self.at(at, Delivery::ToOwner { owner, event });
+                self.schedule(at, Delivery::ToOwner { owner, event });
             }
         }
         for i in 0..MEMBERS {
@@ -410,7 +411,7 @@
             .max_by_key(|i| self.members[*i].term)
     }
 
-    /// Whether an owner is about to replace the primary.
+    /// Whether an owner is fencing members.
     pub fn is_fencing(&self) -> bool {
         let phase = |owner: &Group| owner.dump(self.now).phase;
         self.owners.iter().any(|owner| phase(owner) == "fencing")
@@ -419,7 +420,7 @@
     // Statements.
 
     pub fn write(&mut self, session: usize, owner: usize) {
-        let value = self.next;
+        let value = self.next_id;
         self.submit(session, owner, Target::Primary, Some(value));
     }
 
@@ -428,15 +429,15 @@
     }
 
     fn submit(&mut self, session: usize, owner: usize, target: Target, value: Option<u64>) {
-        let id = self.next;
-        self.next += 1;
-        let floor = match self.without.floors {
+        let id = self.next_id;
+        self.next_id += 1;
+        let floor = match self.disabled.floors {
             true => Some(Position::ZERO),
             false => self.sessions[session].floor,
         };
         let must_see = match target {
             Target::Strict => self.acknowledged.keys().copied().collect(),
-            _ => self.sessions[session].own.clone(),
+            _ => self.sessions[session].own_writes.clone(),
         };
         let statement = Statement {
             session,
@@ -448,9 +449,9 @@
             term: 0,
             primary: false,
             must_see,
-            seen: match self.without.floors {
+            read_values: match self.disabled.floors {
                 true => BTreeSet::new(),
-                false => self.sessions[session].seen.clone(),
+                false => self.sessions[session].read_values.clone(),
             },
             ran: None,
             running: false,
@@ -467,7 +468,7 @@
             deadline: self.now + ms(3_000),
             aim: None,
         };
-        self.at(
+        self.schedule(
             self.now,
             Delivery::ToOwner {
                 owner,
@@ -476,7 +477,7 @@
         );
     }
 
-    // The world's course.
+    // Event loop.
 
     pub fn run_until(&mut self, end: Duration) {
         while let Some(Reverse((time, sequence))) = self.queue.peek().copied() {
@@ -485,7 +486,10 @@
             }
             self.queue.pop();
             self.now = self.now.max(time);
-            let delivery = self.deliveries.remove(&sequence).expect("queued");
+            let delivery = self
+                .deliveries
+                .remove(&sequence)
+                .expect("delivery is queued once");
             self.deliver(delivery);
         }
         self.now = end;
@@ -499,47 +503,47 @@
                 began,
                 call,
             } => {
-                self.serve(owner, member, began, call);
+                self.handle_call(owner, member, began, call);
             }
-            Delivery::ToOwner { owner, event } => self.tell(owner, event),
+            Delivery::ToOwner { owner, event } => self.notify(owner, event),
             Delivery::Answer {
                 owner,
                 id,
                 began,
                 answer,
-            } => self.answered(owner, id, began, answer),
+            } => self.handle_answer(owner, id, began, answer),
             Delivery::Wake(owner) => {
-                self.tell(owner, Event::Tick);
+                self.notify(owner, Event::Tick);
                 let next = self.owners[owner].wake().max(self.now + ms(1));
-                self.at(next.min(self.now + ms(20)), Delivery::Wake(owner));
+                self.schedule(next.min(self.now + ms(20)), Delivery::Wake(owner));
             }
             Delivery::Replicate(member) => {
                 self.replicate(member);
-                self.at(self.now + ms(3), Delivery::Replicate(member));
+                self.schedule(self.now + ms(3), Delivery::Replicate(member));
             }
             Delivery::Apply(member) => {
                 self.apply(member);
-                self.at(self.now + ms(1), Delivery::Apply(member));
+                self.schedule(self.now + ms(1), Delivery::Apply(member));
             }
         }
     }
 
-    fn tell(&mut self, owner: usize, event: Event) {
+    fn notify(&mut self, owner: usize, event: Event) {
         if let Some(until) = self.paused[owner] {
             if self.now < until {
                 let delivery = Delivery::ToOwner { owner, event };
-                self.at(until, delivery);
+                self.schedule(until, delivery);
                 return;
             }
             self.paused[owner] = None;
         }
         let actions = self.owners[owner].handle(event, self.now);
         for action in actions {
-            self.act(owner, action);
+            self.apply_action(owner, action);
         }
     }
 
-    fn act(&mut self, owner: usize, action: Action) {
+    fn apply_action(&mut self, owner: usize, action: Action) {
         match action {
             Action::Assign {
                 id, member, term, ..
@@ -548,7 +552,7 @@
                 self.statements.remove(&id);
                 self.counts.refused += 1;
             }
-            Action::Settle { id, outcome } => self.settled(id, outcome),
+            Action::Settle { id, outcome } => self.settle(id, outcome),
             Action::Probe { member } => self.call(owner, member, Call::Status),
             Action::Fence { member, term } => self.call(owner, member, Call::Fence(term)),
             Action::Promote { member, term } => self.call(owner, member, Call::Promote(term)),
@@ -559,19 +563,19 @@
             } => {
                 self.call(owner, member, Call::Follow(term, primary));
             }
-            // Its members keep their fences.
+            // These members keep their fences and need no claim.
             Action::Release { .. } | Action::Claim | Action::Revoke { .. } => {}
-            Action::Ask => self.ask(owner),
-            Action::Record { .. } => self.counts.replacements += 1,
+            Action::Ask => self.ask_peers(owner),
+            Action::Record { .. } => self.counts.failovers += 1,
             Action::Note(_) => {}
         }
     }
 
-    fn ask(&mut self, owner: usize) {
+    fn ask_peers(&mut self, owner: usize) {
         let term = self.owners[owner].term();
         for other in (0..OWNERS).filter(|other| *other != owner) {
             let paused = self.paused[other].is_some_and(|until| self.now < until);
-            if self.domains_cut(owner, other) || paused || self.lost() {
+            if self.domains_cut(owner, other) || paused || self.drops_message() {
                 continue;
             }
             let event = Event::Opinion {
@@ -580,9 +584,9 @@
                 suspects: self.owners[other].suspects(term),
             };
             let at = self.now + self.delay() + self.delay();
-            self.at(at, Delivery::ToOwner { owner, event });
+            self.schedule(at, Delivery::ToOwner { owner, event });
             let event = Event::Asked;
-            self.at(
+            self.schedule(
                 self.now,
                 Delivery::ToOwner {
                     owner: other,
@@ -595,7 +599,7 @@
     fn call(&mut self, owner: usize, member: usize, call: Call) {
         let at = self.now + self.delay();
         let began = self.now;
-        self.at(
+        self.schedule(
             at,
             Delivery::ToMember {
                 owner,
@@ -606,11 +610,12 @@
         );
     }
 
-    /// A member takes a call; the answer goes back, or nothing does.
-    fn serve(&mut self, owner: usize, member: usize, began: Duration, call: Call) {
-        let lost_there = self.is_cut(owner, member) || self.lost() || self.members[member].frozen;
-        if lost_there {
-            self.silence(owner, member, began, call);
+    /// Handles a call at a member. The answer is sent back unless a message is lost.
+    fn handle_call(&mut self, owner: usize, member: usize, began: Duration, call: Call) {
+        let unanswered =
+            self.is_cut(owner, member) || self.drops_message() || self.members[member].frozen;
+        if unanswered {
+            self.send_timeout(owner, member, began, call);
             return;
         }
         if !self.members[member].up {
@@ -621,8 +626,8 @@
         if let Call::Run(id) = call {
             let ran = self.execute(member, id);
             let back = self.now + self.delay();
-            let answer = if self.lost() { None } else { ran };
-            self.at(
+            let answer = if self.drops_message() { None } else { ran };
+            self.schedule(
                 back,
                 Delivery::Answer {
                     owner,
@@ -633,17 +638,17 @@
             );
             return;
         }
-        let unkept = self.without.fences;
+        let fences_disabled = self.disabled.fences;
         let node = &mut self.members[member];
         let fenced = Err(MemberError::Fenced {
             promised: node.promised,
         });
         let answer = match call {
-            Call::Fence(term) if unkept => Ok(Status {
+            Call::Fence(term) if fences_disabled => Ok(Status {
                 promised: term,
                 ..node.status(now)
             }),
-            Call::Promote(term) if unkept => {
+            Call::Promote(term) if fences_disabled => {
                 node.promised = node.promised.max(term);
                 node.role = Role::Primary;
                 node.term = term;
@@ -671,16 +676,16 @@
             Call::Status => Ok(node.status(now)),
             _ => fenced,
         };
-        match self.lost() {
-            true => self.silence(owner, member, began, call),
+        match self.drops_message() {
+            true => self.send_timeout(owner, member, began, call),
             false => self.reply(owner, member, began, call, answer),
         }
     }
 
-    fn execute(&mut self, member: usize, id: u64) -> Option<Ran> {
+    fn execute(&mut self, member: usize, id: u64) -> Option<RunResult> {
         let value = self.statements.get(&id)?.value;
         let now = self.now;
-        let fences = !self.without.fences;
+        let fences = !self.disabled.fences;
         let node = &mut self.members[member];
         if let Some(value) = value {
             if node.role != Role::Primary || (fences && node.promised != node.term) {
@@ -688,16 +693,16 @@
             }
             node.append(Some(value), now);
         }
-        Some(Ran {
+        Some(RunResult {
             position: node.position(node.applied),
             values: node.values(),
         })
     }
 
-    fn silence(&mut self, owner: usize, member: usize, began: Duration, call: Call) {
+    fn send_timeout(&mut self, owner: usize, member: usize, began: Duration, call: Call) {
         if let Call::Run(id) = call {
-            let at = self.now + ANSWER_WAIT;
-            self.at(
+            let at = self.now + ANSWER_TIMEOUT;
+            self.schedule(
                 at,
                 Delivery::Answer {
                     owner,
@@ -708,9 +713,9 @@
             );
             return;
         }
-        let at = self.now + ANSWER_WAIT;
+        let at = self.now + ANSWER_TIMEOUT;
         let event = event_of(member, began, call, Err(MemberError::Silent));
-        self.at(at, Delivery::ToOwner { owner, event });
+        self.schedule(at, Delivery::ToOwner { owner, event });
     }
 
     fn reply(
@@ -723,7 +728,7 @@
     ) {
         let at = self.now + self.delay();
         if let Call::Run(id) = call {
-            self.at(
+            self.schedule(
                 at,
                 Delivery::Answer {
                     owner,
@@ -735,12 +740,12 @@
             return;
         }
         let event = event_of(member, began, call, answer);
-        self.at(at, Delivery::ToOwner { owner, event });
+        self.schedule(at, Delivery::ToOwner { owner, event });
     }
 
     fn replicate(&mut self, member: usize) {
         let now = self.now;
-        let fences = !self.without.fences;
+        let fences = !self.disabled.fences;
         let Some(primary) = self.members[member].primary else {
             return;
         };
@@ -768,7 +773,7 @@
             .rev()
             .find(same)
             .unwrap_or(0);
-        node.heard = now;
+        node.last_replicated = now;
         node.term = source.term;
         node.log.truncate(shared);
         node.received.truncate(shared);
@@ -808,7 +813,7 @@
         self.call(owner, member, Call::Run(id));
     }
 
-    fn answered(&mut self, owner: usize, id: u64, began: Duration, answer: Option<Ran>) {
+    fn handle_answer(&mut self, owner: usize, id: u64, began: Duration, answer: Option<RunResult>) {
         let Some(statement) = self.statements.get_mut(&id) else {
             return;
         };
@@ -821,13 +826,13 @@
                 position: Some(ran.position),
                 led: statement.value.is_some(),
             };
-            self.tell(owner, answered);
+            self.notify(owner, answered);
         }
         let release = Event::Release {
             member: statement.member,
             took: self.now - began,
         };
-        self.tell(owner, release);
+        self.notify(owner, release);
         let Some(ran) = answer else {
             self.counts.unknown += usize::from(statement.value.is_some());
             self.statements.remove(&id);
@@ -842,16 +847,16 @@
                     position: ran.position,
                     deadline,
                 };
-                self.tell(owner, event);
+                self.notify(owner, event);
             }
-            (None, Target::Strict) if !self.without.verification => {
+            (None, Target::Strict) if !self.disabled.verification => {
                 self.verify(owner, id, &statement, statement.arrived);
             }
             (None, Target::Replica { max_age }) if statement.primary => {
                 let since = statement.assigned.saturating_sub(max_age);
                 self.verify(owner, id, &statement, since);
             }
-            (None, _) => self.settled(id, Outcome::Confirmed),
+            (None, _) => self.settle(id, Outcome::Confirmed),
         }
     }
 
@@ -863,10 +868,10 @@
             position: statement.ran.as_ref().map(|ran| ran.position),
             deadline: self.now + ms(2_000),
         };
-        self.tell(owner, event);
+        self.notify(owner, event);
     }
 
-    fn settled(&mut self, id: u64, outcome: Outcome) {
+    fn settle(&mut self, id: u64, outcome: Outcome) {
         let Some(statement) = self.statements.remove(&id) else {
             return;
         };
@@ -878,18 +883,19 @@
         let session = &mut self.sessions[statement.session];
         session.floor = Some(session.floor.unwrap_or(Position::ZERO).join(ran.position));
         if let Some(value) = statement.value {
-            session.own.insert(value);
+            session.own_writes.insert(value);
             self.acknowledged.insert(value, self.now);
             self.counts.acknowledged += 1;
-            self.counts.acks.push(self.now);
+            self.counts.ack_times.push(self.now);
             return;
         }
-        self.faults.backward += usize::from(!statement.seen.is_subset(&ran.values));
-        session.seen.extend(&ran.values);
+        self.violations.backward_reads +=
+            usize::from(!statement.read_values.is_subset(&ran.values));
+        session.read_values.extend(&ran.values);
         let missing = !statement.must_see.is_subset(&ran.values);
         match statement.target {
-            Target::Strict => self.faults.stale_strict += usize::from(missing),
-            _ => self.faults.stale_own += usize::from(missing),
+            Target::Strict => self.violations.stale_strict_reads += usize::from(missing),
+            _ => self.violations.stale_own_reads += usize::from(missing),
         }
         if let Target::Replica { max_age } = statement.target {
             let bound = statement.assigned.saturating_sub(max_age);
@@ -897,14 +903,14 @@
             let hidden = older
                 .filter(|(value, _)| !ran.values.contains(value))
                 .count();
-            self.faults.too_old += usize::from(hidden > 0);
+            self.violations.too_old_reads += usize::from(hidden > 0);
         }
     }
 
-    /// Compares all that was acknowledged with the log that won.
+    /// Compares the acknowledged writes with the primary's log.
     pub fn check(&mut self) {
         let Some(leader) = self.leader() else {
-            self.faults.without_primary += 1;
+            self.violations.missing_primary += 1;
             return;
         };
         let log: Vec<u64> = self.members[leader]
@@ -913,12 +919,12 @@
             .filter_map(|e| e.value)
             .collect();
         let present: BTreeSet<u64> = log.iter().copied().collect();
-        self.faults.twice += log.len() - present.len();
+        self.violations.duplicate_writes += log.len() - present.len();
         let lost = self
             .acknowledged
             .keys()
             .filter(|value| !present.contains(value));
-        self.faults.lost += lost.count();
+        self.violations.lost_writes += lost.count();
     }
 }
 
--- a/tests/unit/group.rs
+++ b/tests/unit/group.rs
@@ -2,11 +2,11 @@
 
 use googletest::prelude::*;
 use larkfall::borders::member::{Role, Status, Stream};
+use larkfall::decisions::failover::Corroboration;
 use larkfall::decisions::group::{Action, Event, Group, Note};
 use larkfall::decisions::position::Position;
-use larkfall::decisions::replace::Corroboration;
 
-use super::fake::{fresh_group, fresh_group_with, ms};
+use super::fake::{ms, new_group, new_group_with};
 
 fn status(promised: u64, log: Position, applied: Position) -> Status {
     Status {
@@ -39,7 +39,7 @@
         status(1, at(2, 5), at(1, 5)),
         status(2, at(2, 5), at(2, 9)),
     ] {
-        let mut group = fresh_group();
+        let mut group = new_group();
         let actions = group.handle(told(nonsense), ms(2));
         expect_that!(
             actions,
@@ -51,7 +51,7 @@
 
 #[gtest]
 fn a_primary_that_reports_its_own_term_is_adopted() {
-    let mut group = fresh_group();
+    let mut group = new_group();
     let at = Position::new;
     group.handle(told(status(1, at(1, 5), at(1, 5))), ms(2));
     expect_that!(group.term(), eq(1));
@@ -60,7 +60,7 @@
 
 #[gtest]
 fn silence_is_noticed_when_nothing_else_happens() {
-    let mut group = fresh_group();
+    let mut group = new_group();
     let at = Position::new;
     group.handle(told(status(1, at(1, 5), at(1, 5))), ms(2));
     // Nobody answers any more; the group is woken only when it asks to be.
@@ -75,7 +75,7 @@
 
 #[gtest]
 fn an_owner_that_looks_seldom_looks_at_once_when_another_suspects_the_primary() {
-    let mut group = fresh_group();
+    let mut group = new_group();
     group.set_rank(1, 1);
     let at = Position::new;
     group.handle(told(status(1, at(1, 5), at(1, 5))), ms(2));
@@ -92,7 +92,7 @@
 /// silent member of one other domain has those of all others looked at.
 #[gtest]
 fn a_silent_member_of_another_domain_has_all_far_ones_looked_at() {
-    let mut group = fresh_group_with(|settings| settings.domain_loss = true);
+    let mut group = new_group_with(|settings| settings.domain_loss = true);
     let at = Position::new;
     for member in 0..3 {
         let answer = Ok(status(1, at(1, 5), at(1, 5)));
@@ -123,8 +123,8 @@
 /// term for one that had gone on without them.
 #[gtest]
 fn an_owner_that_never_saw_the_primary_replaces_it_all_the_same() {
-    let mut group = fresh_group_with(|settings| {
-        settings.replace.fences_end = true;
+    let mut group = new_group_with(|settings| {
+        settings.replace.promotion_clears_fences = true;
         settings.replace.lease = ms(800);
         settings.replace.corroboration = Corroboration::Majority;
     });
--- a/tests/unit/leaving.rs
+++ b/tests/unit/leaving.rs
@@ -27,14 +27,14 @@
 use slog::Logger;
 
 use super::fake::ms;
-use super::lease::{Bench, member, plan, status};
+use super::lease::{Fixture, member, plan, status};
 
 /// Time after its word from which nothing may reach a leaving member any more.
 const MOST: Duration = Duration::from_secs(7);
 
 /// A group of which nobody but the primary is left, and it says that it leaves.
-fn last_one_leaves() -> Bench {
-    let mut bench = Bench::new(0);
+fn last_one_leaves() -> Fixture {
+    let mut bench = Fixture::new(0);
     bench
         .group
         .set_plan(plan(vec![member(0, false)]), bench.now);
@@ -44,7 +44,7 @@
 }
 
 /// The primary answers for a while.
-fn look_for(bench: &mut Bench, length: Duration) {
+fn look_for(bench: &mut Fixture, length: Duration) {
     let end = bench.now + length;
     while bench.now < end {
         bench.now += ms(50);
@@ -52,24 +52,24 @@
     }
 }
 
-fn assigned(bench: &Bench, wanted: u64) -> bool {
-    bench.asked(|a| matches!(a, Action::Assign { id, .. } if *id == wanted)) > 0
+fn assigned(bench: &Fixture, wanted: u64) -> bool {
+    bench.count_actions(|a| matches!(a, Action::Assign { id, .. } if *id == wanted)) > 0
 }
 
-fn refused(bench: &Bench, wanted: u64) -> bool {
-    bench.asked(|a| matches!(a, Action::Refuse { id, .. } if *id == wanted)) > 0
+fn refused(bench: &Fixture, wanted: u64) -> bool {
+    bench.count_actions(|a| matches!(a, Action::Refuse { id, .. } if *id == wanted)) > 0
 }
 
 #[gtest]
 fn a_leaving_primary_that_nobody_can_follow_gets_nothing_new_once_its_time_is_over() {
     let mut bench = last_one_leaves();
     look_for(&mut bench, ms(1_000));
-    bench.arrive(1);
-    bench.read(2, ms(500));
+    bench.submit_write(1);
+    bench.submit_read(2, ms(500));
     expect_that!(assigned(&bench, 1) && assigned(&bench, 2), eq(true));
     look_for(&mut bench, MOST - ms(1_500));
-    bench.arrive(3);
-    bench.read(4, ms(500));
+    bench.submit_write(3);
+    bench.submit_read(4, ms(500));
     expect_that!(assigned(&bench, 3) || assigned(&bench, 4), eq(false));
     // Nobody will serve them in time: they are told so at once.
     expect_that!(refused(&bench, 3) && refused(&bench, 4), eq(true));
@@ -77,14 +77,14 @@
 
 #[gtest]
 fn members_that_leave_too_give_a_leaving_primary_no_more_time() {
-    let mut bench = Bench::new(0);
+    let mut bench = Fixture::new(0);
     let members = (0..3).map(|i| member(i, true)).collect();
     bench.group.set_plan(plan(members), bench.now);
     look_for(&mut bench, ms(1_000));
-    bench.arrive(1);
+    bench.submit_write(1);
     expect_that!(assigned(&bench, 1), eq(true));
     look_for(&mut bench, MOST - ms(1_500));
-    bench.arrive(2);
+    bench.submit_write(2);
     expect_that!(assigned(&bench, 2), eq(false));
     expect_that!(refused(&bench, 2), eq(true));
 }
@@ -96,27 +96,27 @@
     let joined = vec![member(0, true), member(1, true)];
     bench.group.set_plan(plan(joined), bench.now);
     look_for(&mut bench, MOST - ms(3_500));
-    bench.arrive(1);
+    bench.submit_write(1);
     expect_that!(assigned(&bench, 1), eq(false));
 }
 
 /// It was counted from when it led.
 #[gtest]
 fn a_member_that_is_promoted_while_it_leaves_gets_no_time_of_its_own() {
-    let mut bench = Bench::new(0);
+    let mut bench = Fixture::new(0);
     let members = (0..3).map(|i| member(i, true)).collect();
     bench.group.set_plan(plan(members), bench.now);
     look_for(&mut bench, ms(4_000));
     bench.report(1, status(Role::Primary, 2, 2, 11));
     bench.report(0, status(Role::Replica, 2, 2, 11));
     bench.report(2, status(Role::Replica, 2, 2, 11));
-    bench.arrive(1);
+    bench.submit_write(1);
     expect_that!(assigned(&bench, 1), eq(true));
     for _ in 0..50 {
         bench.now += ms(50);
         bench.report(1, status(Role::Primary, 2, 2, 11));
     }
-    bench.arrive(2);
+    bench.submit_write(2);
     expect_that!(assigned(&bench, 2), eq(false));
 }
 
@@ -128,15 +128,15 @@
     let ages = known.map(|(age, served)| (Some(age), served));
     for (age, served) in ages.into_iter().chain([(None, false)]) {
         let plan = plan(vec![member(0, true)]);
-        let departure = Departure::heard(now, age);
+        let departure = Departure::with_age(now, age);
         let departures = [("m0".into(), departure)].into();
         let plan = Arc::new(Plan {
             departures,
             ..Plan::clone(&plan)
         });
-        let mut bench = Bench::with(plan, 0, now);
+        let mut bench = Fixture::with_plan(plan, 0, now);
         bench.report(0, status(Role::Primary, 1, 1, 10));
-        bench.arrive(1);
+        bench.submit_write(1);
         expect_that!(assigned(&bench, 1), eq(served), "a word {age:?} old");
     }
 }
@@ -148,13 +148,13 @@
     look_for(&mut bench, ms(4_400));
     let first = 100;
     let queued = (first..).find(|id| {
-        bench.arrive(*id);
+        bench.submit_write(*id);
         !assigned(&bench, *id)
     });
     let queued = queued.expect("a member has no room for all");
     look_for(&mut bench, ms(200));
     let took = ms(200);
-    bench.tell(Event::Release { member: 0, took });
+    bench.handle(Event::Release { member: 0, took });
     expect_that!(assigned(&bench, queued), eq(false));
     expect_that!(refused(&bench, queued), eq(true));
 }
@@ -167,11 +167,11 @@
     let word = bench.now;
     let mut ticks = 0;
     let over = |a: &Action| matches!(a, Action::Note(Note::LeaveOver { .. }));
-    while bench.asked(over) == 0 && bench.now < word + MOST {
+    while bench.count_actions(over) == 0 && bench.now < word + MOST {
         bench.now = bench.group.wake().max(bench.now + ms(1));
-        bench.tell(Event::Tick);
+        bench.handle(Event::Tick);
         ticks += 1;
-        if bench.asked(over) == 0 {
+        if bench.count_actions(over) == 0 {
             bench.report(0, status(Role::Primary, 1, 1, 10));
         }
     }
@@ -324,9 +324,9 @@
         (ms(9_000), ms(3_000)),
     ];
     for (age, end) in known {
-        let mut bench = Bench::with(plan(vec![member(0, false)]), 0, ms(0));
+        let mut bench = Fixture::with_plan(plan(vec![member(0, false)]), 0, ms(0));
         look_for(&mut bench, ms(1_000));
-        let departure = Departure::heard(bench.now, Some(age));
+        let departure = Departure::with_age(bench.now, Some(age));
         let departures = [("m0".into(), departure)].into();
         let gone = Arc::new(Plan {
             departures,
@@ -335,10 +335,10 @@
         let heard = bench.now;
         bench.group.set_plan(gone, heard);
         look_for(&mut bench, end - ms(100));
-        bench.arrive(1);
+        bench.submit_write(1);
         expect_that!(assigned(&bench, 1), eq(true), "a word {age:?} old");
         look_for(&mut bench, ms(200));
-        bench.arrive(2);
+        bench.submit_write(2);
         expect_that!(assigned(&bench, 2), eq(false), "a word {age:?} old");
     }
 }
@@ -346,37 +346,37 @@
 /// The box ended: whoever is promoted has to be a member of the group.
 #[gtest]
 fn a_member_is_not_forgotten_while_it_is_promoted() {
-    let mut bench = Bench::new(0);
+    let mut bench = Fixture::new(0);
     let listed = vec![member(0, false), member(2, false)];
     bench.group.set_plan(plan(listed), bench.now);
     let gone = bench.now + decisions().missing_grace;
     while bench.now < gone - ms(300) {
         bench.now += ms(100);
-        bench.look();
+        bench.report_all();
     }
-    bench.ballot();
-    bench.grant(1, 12);
-    bench.grant(2, 11);
-    let term = bench.term();
-    bench.tell(Event::Revoked { term });
+    bench.start_ballot();
+    bench.grant_fence(1, 12);
+    bench.grant_fence(2, 11);
+    let term = bench.ballot_term();
+    bench.handle(Event::Revoked { term });
     let promote = Action::Promote { member: 1, term };
     expect_that!(bench.actions, contains(eq(&promote)));
-    bench.pass(ms(400));
+    bench.advance(ms(400));
     expect_that!(bench.now, gt(gone));
     let answer = Ok(status(Role::Primary, 2, 2, 12));
-    bench.tell(Event::Promoted { term, answer });
+    bench.handle(Event::Promoted { term, answer });
     expect_that!(bench.group.primary(), some(eq(1)));
 }
 
 /// The same where an answer to a look comes late.
 #[gtest]
 fn a_member_that_was_forgotten_is_not_taken_for_the_primary() {
-    let mut bench = Bench::new(0);
+    let mut bench = Fixture::new(0);
     let listed = vec![member(0, false), member(2, false)];
     bench.group.set_plan(plan(listed), bench.now);
     for _ in 0..35 {
         bench.now += ms(100);
-        bench.look();
+        bench.report_all();
     }
     bench.report(1, status(Role::Primary, 2, 2, 12));
     expect_that!(bench.group.primary(), some(eq(0)));
@@ -384,18 +384,18 @@
 
 #[gtest]
 fn a_replica_that_leaves_gets_no_read() {
-    let mut bench = Bench::new(0);
+    let mut bench = Fixture::new(0);
     let members = (0..3).map(|i| member(i, i == 1)).collect();
     bench.group.set_plan(plan(members), bench.now);
     let reads = 1..40;
     for id in reads.clone() {
-        bench.look();
-        bench.read(id, ms(2_500));
+        bench.report_all();
+        bench.submit_read(id, ms(2_500));
         let took = ms(5);
         for place in [0, 2] {
             let sent = |a: &Action| matches!(a, Action::Assign { id: sent, member, .. } if *sent == id && *member == place);
-            if bench.asked(sent) > 0 {
-                bench.tell(Event::Release {
+            if bench.count_actions(sent) > 0 {
+                bench.handle(Event::Release {
                     member: place,
                     took,
                 });
@@ -403,7 +403,7 @@
         }
     }
     let to = |member: usize| {
-        bench.asked(|a| matches!(a, Action::Assign { member: sent, .. } if *sent == member))
+        bench.count_actions(|a| matches!(a, Action::Assign { member: sent, .. } if *sent == member))
     };
     expect_that!(to(1), eq(0));
     expect_that!(to(0) + to(2), eq(reads.count()));
@@ -413,17 +413,17 @@
 /// time to receive the rest.
 #[gtest]
 fn a_leaving_primary_is_fenced_before_those_that_receive_from_it() {
-    let mut bench = Bench::new(0);
+    let mut bench = Fixture::new(0);
     let members = (0..3).map(|i| member(i, i == 0)).collect();
     bench.group.set_plan(plan(members), bench.now);
-    bench.pass(ms(200));
-    bench.tell(Event::Claimed { won: true });
-    let fenced = |bench: &Bench, place: usize| {
-        bench.asked(|a| matches!(a, Action::Fence { member, .. } if *member == place))
+    bench.advance(ms(200));
+    bench.handle(Event::Claimed { won: true });
+    let fenced = |bench: &Fixture, place: usize| {
+        bench.count_actions(|a| matches!(a, Action::Fence { member, .. } if *member == place))
     };
     expect_that!(fenced(&bench, 0), eq(1));
     expect_that!(fenced(&bench, 1) + fenced(&bench, 2), eq(0));
-    bench.pass(decisions().replace.catch_up);
+    bench.advance(decisions().replace.catch_up);
     expect_that!(fenced(&bench, 1) + fenced(&bench, 2), eq(2));
 }
 
@@ -446,7 +446,7 @@
 #[gtest]
 fn of_two_bounds_the_shorter_holds_for_a_member_that_leaves_already() {
     for (before, after) in [(ms(7_000), ms(3_000)), (ms(3_000), ms(7_000))] {
-        let mut bench = Bench::new(0);
+        let mut bench = Fixture::new(0);
         bench.group.set_leave_most(before);
         let alone = |leaving| plan(vec![member(0, leaving)]);
         bench.group.set_plan(alone(false), bench.now);
@@ -454,10 +454,10 @@
         bench.group.set_plan(alone(true), bench.now);
         look_for(&mut bench, ms(1_000));
         bench.group.set_leave_most(after);
-        bench.arrive(1);
+        bench.submit_write(1);
         expect_that!(assigned(&bench, 1), eq(true));
         look_for(&mut bench, ms(2_100));
-        bench.arrive(2);
+        bench.submit_write(2);
         expect_that!(assigned(&bench, 2), eq(false));
     }
 }
--- a/tests/unit/orders.rs
+++ b/tests/unit/orders.rs
@@ -1,5 +1,5 @@
-//! Numbers of promotions' orders where one box has no table, in virtual time: two
-//! boxes before three members, with delays drawn anew for every message.
+//! Generation numbers of promotion orders when one of two boxes can't reach the table:
+//! randomised runs in virtual time with three members.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -9,7 +9,7 @@
 use googletest::prelude::*;
 use larkfall::borders::member::{Bid, MemberError, Role, Status};
 use larkfall::borders::table::Revision;
-use larkfall::decisions::duty::{Claim, Duty, taken};
+use larkfall::decisions::duty::{Claim, Duty, next_duty};
 use larkfall::decisions::group::{Action, Event, Group};
 use larkfall::platform::settings::decisions;
 use rand::rngs::SmallRng;
@@ -20,52 +20,53 @@
 
 const BOXES: usize = 2;
 const MEMBERS: usize = 3;
-/// The box that never reaches the table.
+/// The box that can't reach the table.
 const CUT_OFF: usize = 1;
-/// Time that a box waits for the table's answer, as in `node::duty`.
-const TABLE_WAIT: Duration = ms(400);
-/// Time that a member is silent before a question has failed.
-const SILENCE: Duration = ms(900);
-const PROMOTION: Duration = ms(300);
-const LENGTH: Duration = ms(20_000);
+/// Timeout of a table commit, as in `node::duty`.
+const TABLE_TIMEOUT: Duration = ms(400);
+/// Time after which a probe of an unreachable member fails.
+const PROBE_TIMEOUT: Duration = ms(900);
+const PROMOTION_TIME: Duration = ms(300);
+const RUN_LENGTH: Duration = ms(20_000);
 const RUNS: u64 = 3_000;
 
-/// A member that keeps fences as the users' members do.
+/// A member that handles fences as the platform's members do.
 #[derive(Clone, Copy)]
-struct Fake {
+struct FakeMember {
     role: Role,
     term: u64,
-    held: u64,
-    dark: bool,
+    fence_term: u64,
+    unreachable: bool,
 }
 
-impl Fake {
+impl FakeMember {
     fn status(&self) -> Status {
-        status(self.role, self.term, self.term.max(self.held), 10)
+        status(self.role, self.term, self.term.max(self.fence_term), 10)
     }
 }
 
 enum Step {
     /// An event reaches a box.
-    Tell(usize, Event),
+    Deliver(usize, Event),
     Wake(usize),
     Status {
-        by: usize,
+        owner: usize,
         member: usize,
         began: Duration,
     },
-    /// A fence's first half: what the member says before.
+    /// The first half of a fence: the member's state is checked.
     Fence {
-        by: usize,
+        owner: usize,
         member: usize,
         bid: Bid,
     },
-    Pause {
-        by: usize,
+    /// The second half of a fence.
+    GrantFence {
+        owner: usize,
         member: usize,
         term: u64,
     },
-    Resume {
+    ReleaseFence {
         member: usize,
     },
     Follow {
@@ -73,54 +74,54 @@
         term: u64,
     },
     Claim {
-        by: usize,
+        owner: usize,
         claim: Claim,
     },
-    /// The winner is looked at before the order.
+    /// The winner is checked before the promotion is ordered.
     Promote {
-        by: usize,
+        owner: usize,
         member: usize,
         term: u64,
-        number: u64,
+        generation: u64,
         claim: Claim,
     },
     Order {
-        by: usize,
+        owner: usize,
         member: usize,
         term: u64,
-        number: u64,
+        generation: u64,
     },
-    Lead {
-        by: usize,
+    Promoted {
+        owner: usize,
         member: usize,
         term: u64,
     },
     Revoke {
-        of: usize,
-        by: usize,
+        target: usize,
+        owner: usize,
         term: u64,
     },
-    /// A box hears of the row.
-    Hear {
-        by: usize,
+    /// A box learns of the row in the table.
+    LearnDuty {
+        owner: usize,
         duty: Duty,
     },
     Crash,
-    Return(usize),
+    Restart(usize),
 }
 
 struct World {
     now: Duration,
-    dice: SmallRng,
+    rng: SmallRng,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     steps: BTreeMap<u64, Step>,
-    next: u64,
+    next_id: u64,
     boxes: Vec<Group>,
     claims: Vec<Option<Claim>>,
-    known: Vec<Option<Duty>>,
+    known_duties: Vec<Option<Duty>>,
     row: Option<Duty>,
-    members: [Fake; MEMBERS],
-    /// Numbers in the order in which they reached the platform, and from which box.
+    members: [FakeMember; MEMBERS],
+    /// Generations in the order in which they reached the platform, with the ordering box.
     orders: Vec<(u64, usize)>,
 }
 
@@ -134,148 +135,158 @@
             group.set_rank(rank, 1);
             group
         };
-        let replica = Fake {
+        let replica = FakeMember {
             role: Role::Replica,
             term: 1,
-            held: 0,
-            dark: false,
+            fence_term: 0,
+            unreachable: false,
         };
-        let primary = Fake {
+        let primary = FakeMember {
             role: Role::Primary,
             ..replica
         };
-        // Either box may be the first in rank.
+        // Either box may have the lowest rank.
         let mut boxes: Vec<Group> = (0..BOXES).map(group).collect();
         if seed % 2 == 1 {
             boxes.reverse();
         }
         let mut world = Self {
             now: ms(0),
-            dice: SmallRng::seed_from_u64(seed),
+            rng: SmallRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             steps: BTreeMap::new(),
-            next: 0,
+            next_id: 0,
             boxes,
             claims: vec![None; BOXES],
-            known: vec![None; BOXES],
+            known_duties: vec![None; BOXES],
             row: None,
             members: [primary, replica, replica],
             orders: Vec::new(),
         };
-        for by in 0..BOXES {
-            world.at(ms(1), Step::Tell(by, Event::Listed { listed: true }));
+        for owner in 0..BOXES {
+            world.schedule(ms(1), Step::Deliver(owner, Event::Listed { listed: true }));
         }
         for crash in 0..3 {
-            let at = ms(world.dice.random_range(1_000..3_000) + crash * 5_500);
-            world.at(at, Step::Crash);
+            let at = ms(world.rng.random_range(1_000..3_000) + crash * 5_500);
+            world.schedule(at, Step::Crash);
         }
         world
     }
 
-    fn at(&mut self, after: Duration, step: Step) {
-        self.next += 1;
-        self.queue.push(Reverse((self.now + after, self.next)));
-        self.steps.insert(self.next, step);
+    fn schedule(&mut self, after: Duration, step: Step) {
+        self.next_id += 1;
+        self.queue.push(Reverse((self.now + after, self.next_id)));
+        self.steps.insert(self.next_id, step);
     }
 
-    /// One way of a message; some meet a busy member.
-    fn way(&mut self) -> Duration {
-        match self.dice.random_range(0..10) {
-            0 => ms(self.dice.random_range(20..250)),
-            _ => ms(self.dice.random_range(1..6)),
+    /// Draws the delay of one message; some messages reach a busy member.
+    fn delay(&mut self) -> Duration {
+        match self.rng.random_range(0..10) {
+            0 => ms(self.rng.random_range(20..250)),
+            _ => ms(self.rng.random_range(1..6)),
         }
     }
 
-    fn soon(&mut self, step: Step) {
-        let way = self.way();
-        self.at(way, step);
+    fn send(&mut self, step: Step) {
+        let delay = self.delay();
+        self.schedule(delay, step);
     }
 
     fn run(&mut self) {
         while let Some(Reverse((at, id))) = self.queue.pop() {
-            if at > LENGTH {
+            if at > RUN_LENGTH {
                 return;
             }
             self.now = at;
             let step = self.steps.remove(&id).expect("queued once");
-            self.take(step);
+            self.apply_step(step);
         }
     }
 
-    fn tell(&mut self, by: usize, event: Event) {
-        let actions = self.boxes[by].handle(event, self.now);
+    fn deliver(&mut self, owner: usize, event: Event) {
+        let actions = self.boxes[owner].handle(event, self.now);
         for action in actions {
-            self.act(by, action);
+            self.apply_action(owner, action);
         }
-        let wake = self.boxes[by].wake().saturating_sub(self.now);
-        self.at(wake.clamp(ms(5), ms(100)), Step::Wake(by));
+        let wake = self.boxes[owner].wake().saturating_sub(self.now);
+        self.schedule(wake.clamp(ms(5), ms(100)), Step::Wake(owner));
     }
 
-    fn act(&mut self, by: usize, action: Action) {
+    fn apply_action(&mut self, owner: usize, action: Action) {
         let began = self.now;
         match action {
-            Action::Probe { member } => self.soon(Step::Status { by, member, began }),
+            Action::Probe { member } => self.send(Step::Status {
+                owner,
+                member,
+                began,
+            }),
             Action::Fence { member, term } => {
-                let bid = self.boxes[by].bid(term);
-                self.soon(Step::Fence { by, member, bid });
+                let bid = self.boxes[owner].bid(term);
+                self.send(Step::Fence { owner, member, bid });
             }
-            Action::Release { member } => self.soon(Step::Resume { member }),
-            Action::Follow { member, term, .. } => self.soon(Step::Follow { member, term }),
-            Action::Claim => self.claim(by),
+            Action::Release { member } => self.send(Step::ReleaseFence { member }),
+            Action::Follow { member, term, .. } => self.send(Step::Follow { member, term }),
+            Action::Claim => self.claim(owner),
             Action::Promote { member, term } => {
-                let claim = self.claims[by].clone().expect("the duty was taken");
-                let number = claim.number(&self.boxes[by].ballot());
-                self.soon(Step::Promote {
-                    by,
+                let claim = self.claims[owner].clone().expect("the duty was claimed");
+                let generation = claim.generation(&self.boxes[owner].ballot());
+                self.send(Step::Promote {
+                    owner,
                     member,
                     term,
-                    number,
+                    generation,
                     claim,
                 });
             }
             Action::Revoke { term } => {
-                let alone = self.claims[by].as_ref().is_some_and(|claim| claim.alone);
-                let of = 1 - by;
-                match alone {
+                let unconfirmed = self.claims[owner]
+                    .as_ref()
+                    .is_some_and(|claim| claim.unconfirmed);
+                let target = 1 - owner;
+                match unconfirmed {
                     true => {}
-                    false => self.soon(Step::Revoke { of, by, term }),
+                    false => self.send(Step::Revoke {
+                        target,
+                        owner,
+                        term,
+                    }),
                 }
             }
             Action::Ask => {
-                let term = self.boxes[by].term();
+                let term = self.boxes[owner].term();
                 let event = Event::Opinion {
                     from: "other".into(),
                     near: false,
-                    suspects: self.boxes[1 - by].suspects(term),
+                    suspects: self.boxes[1 - owner].suspects(term),
                 };
-                self.soon(Step::Tell(by, event));
+                self.send(Step::Deliver(owner, event));
             }
             _ => {}
         }
     }
 
-    fn claim(&mut self, by: usize) {
-        let ballot = self.boxes[by].ballot();
-        let holder: Arc<str> = format!("box-{by}").into();
-        let duty = taken(self.known[by].as_ref(), &holder, &ballot);
-        let slow = by != CUT_OFF && self.dice.random_range(0..3) == 0;
+    fn claim(&mut self, owner: usize) {
+        let ballot = self.boxes[owner].ballot();
+        let holder: Arc<str> = format!("box-{owner}").into();
+        let duty = next_duty(self.known_duties[owner].as_ref(), &holder, &ballot);
+        let slow = owner != CUT_OFF && self.rng.random_range(0..3) == 0;
         if slow {
-            // Done, and the answer comes too late.
+            // The commit succeeds, but its answer comes too late.
             let claim = Claim {
                 duty: duty.clone(),
-                alone: false,
+                unconfirmed: false,
             };
             self.commit(&claim);
         }
-        let alone = by == CUT_OFF || slow;
-        let claim = Claim { duty, alone };
-        match alone {
-            true => self.at(TABLE_WAIT, Step::Claim { by, claim }),
-            false => self.soon(Step::Claim { by, claim }),
+        let unconfirmed = owner == CUT_OFF || slow;
+        let claim = Claim { duty, unconfirmed };
+        match unconfirmed {
+            true => self.schedule(TABLE_TIMEOUT, Step::Claim { owner, claim }),
+            false => self.send(Step::Claim { owner, claim }),
         }
     }
 
-    /// Writes the row unless another box has. The new revision.
+    /// Writes the row unless another box has since; returns the new revision.
     fn commit(&mut self, claim: &Claim) -> Option<Revision> {
         let row = self.row.as_ref();
         let revision = row.map_or(Revision::NONE, |row| row.revision);
@@ -287,120 +298,151 @@
             ..claim.duty.clone()
         };
         self.row = Some(duty.clone());
-        let by = 1 - CUT_OFF;
-        self.soon(Step::Hear { by, duty });
+        let owner = 1 - CUT_OFF;
+        self.send(Step::LearnDuty { owner, duty });
         Some(revision.next())
     }
 
-    fn claimed(&mut self, by: usize, mut claim: Claim) {
-        if !claim.alone {
+    fn complete_claim(&mut self, owner: usize, mut claim: Claim) {
+        if !claim.unconfirmed {
             let Some(revision) = self.commit(&claim) else {
-                return self.tell(by, Event::Claimed { won: false });
+                return self.deliver(owner, Event::Claimed { won: false });
             };
             claim.duty.revision = revision;
         }
-        self.claims[by] = Some(claim);
-        self.tell(by, Event::Claimed { won: true });
+        self.claims[owner] = Some(claim);
+        self.deliver(owner, Event::Claimed { won: true });
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         match step {
-            Step::Tell(by, event) => self.tell(by, event),
-            Step::Wake(by) => self.wake(by),
-            Step::Status { by, member, began } => self.status(by, member, began),
-            Step::Fence { by, member, bid } => self.fence(by, member, bid),
-            Step::Pause { by, member, term } => self.pause(by, member, term),
-            Step::Resume { member } => self.members[member].held = 0,
+            Step::Deliver(owner, event) => self.deliver(owner, event),
+            Step::Wake(owner) => self.wake(owner),
+            Step::Status {
+                owner,
+                member,
+                began,
+            } => self.send_status(owner, member, began),
+            Step::Fence { owner, member, bid } => self.fence(owner, member, bid),
+            Step::GrantFence {
+                owner,
+                member,
+                term,
+            } => self.grant_fence(owner, member, term),
+            Step::ReleaseFence { member } => self.members[member].fence_term = 0,
             Step::Follow { member, term } => self.follow(member, term),
-            Step::Claim { by, claim } => self.claimed(by, claim),
+            Step::Claim { owner, claim } => self.complete_claim(owner, claim),
             Step::Promote {
-                by,
+                owner,
                 member,
                 term,
-                number,
+                generation,
                 claim,
-            } => self.promote(by, (member, term), number, &claim),
+            } => self.promote(owner, (member, term), generation, &claim),
             Step::Order {
-                by,
+                owner,
                 member,
                 term,
-                number,
+                generation,
             } => {
-                self.orders.push((number, by));
-                self.at(PROMOTION, Step::Lead { by, member, term });
+                self.orders.push((generation, owner));
+                self.schedule(
+                    PROMOTION_TIME,
+                    Step::Promoted {
+                        owner,
+                        member,
+                        term,
+                    },
+                );
             }
-            Step::Lead { by, member, term } => self.lead(by, member, term),
-            Step::Revoke { of, by, term } => {
-                self.tell(of, Event::Revoke);
-                if !self.boxes[of].is_deposing() {
-                    self.soon(Step::Tell(by, Event::Revoked { term }));
+            Step::Promoted {
+                owner,
+                member,
+                term,
+            } => self.complete_promotion(owner, member, term),
+            Step::Revoke {
+                target,
+                owner,
+                term,
+            } => {
+                self.deliver(target, Event::Revoke);
+                if !self.boxes[target].is_deposing() {
+                    self.send(Step::Deliver(owner, Event::Revoked { term }));
                 }
             }
-            Step::Hear { by, duty } => self.known[by] = Some(duty),
+            Step::LearnDuty { owner, duty } => self.known_duties[owner] = Some(duty),
             Step::Crash => self.crash(),
-            Step::Return(member) => {
+            Step::Restart(member) => {
                 let newest = self.members.iter().map(|m| m.term).max();
-                self.members[member] = Fake {
+                self.members[member] = FakeMember {
                     role: Role::Replica,
                     term: newest.expect("there are members"),
-                    held: 0,
-                    dark: false,
+                    fence_term: 0,
+                    unreachable: false,
                 };
             }
         }
     }
 
-    fn wake(&mut self, by: usize) {
+    fn wake(&mut self, owner: usize) {
         let pending = self.steps.values();
-        let waits = |step: &&Step| matches!(step, Step::Wake(other) if *other == by);
+        let waits = |step: &&Step| matches!(step, Step::Wake(other) if *other == owner);
         if pending.filter(waits).count() == 0 {
-            self.tell(by, Event::Tick);
+            self.deliver(owner, Event::Tick);
         }
     }
 
-    fn status(&mut self, by: usize, member: usize, began: Duration) {
-        let known = self.members[member];
-        let (after, answer) = match known.dark {
-            true => (SILENCE, Err(MemberError::Silent)),
-            false => (self.way(), Ok(known.status())),
+    fn send_status(&mut self, owner: usize, member: usize, began: Duration) {
+        let node = self.members[member];
+        let (after, answer) = match node.unreachable {
+            true => (PROBE_TIMEOUT, Err(MemberError::Silent)),
+            false => (self.delay(), Ok(node.status())),
         };
         let event = Event::Status {
             member,
             began,
             answer,
         };
-        self.at(after, Step::Tell(by, event));
+        self.schedule(after, Step::Deliver(owner, event));
     }
 
-    fn fence(&mut self, by: usize, member: usize, bid: Bid) {
-        let known = self.members[member];
-        let promised = known.status().promised;
-        let outbid = promised > bid.known.max(bid.replaced);
+    fn fence(&mut self, owner: usize, member: usize, bid: Bid) {
+        let node = self.members[member];
+        let promised = node.status().promised;
+        let superseded = promised > bid.known.max(bid.replaced);
         let term = bid.term;
-        let answer = match known.dark {
+        let answer = match node.unreachable {
             true => Err(MemberError::Silent),
-            false if known.term > bid.replaced || outbid => Err(MemberError::Fenced { promised }),
-            false => return self.soon(Step::Pause { by, member, term }),
+            false if node.term > bid.replaced || superseded => {
+                Err(MemberError::Fenced { promised })
+            }
+            false => {
+                return self.send(Step::GrantFence {
+                    owner,
+                    member,
+                    term,
+                });
+            }
         };
-        self.fenced(by, member, term, answer);
+        self.answer_fence(owner, member, term, answer);
     }
 
-    fn pause(&mut self, by: usize, member: usize, term: u64) {
-        let known = &mut self.members[member];
-        let promised = known.status().promised;
-        if known.dark || term <= promised {
+    fn grant_fence(&mut self, owner: usize, member: usize, term: u64) {
+        let node = &mut self.members[member];
+        let promised = node.status().promised;
+        if node.unreachable || term <= promised {
             let answer = Err(MemberError::Fenced { promised });
-            return self.fenced(by, member, term, answer);
+            return self.answer_fence(owner, member, term, answer);
         }
-        known.held = term;
-        known.role = Role::Replica;
-        let status = known.status();
-        self.fenced(by, member, term, Ok(status));
+        node.fence_term = term;
+        node.role = Role::Replica;
+        let status = node.status();
+        self.answer_fence(owner, member, term, Ok(status));
     }
 
-    fn fenced(
+    fn answer_fence(
         &mut self,
-        by: usize,
+        owner: usize,
         member: usize,
         term: u64,
         answer: std::result::Result<Status, MemberError>,
@@ -410,72 +452,82 @@
             term,
             answer,
         };
-        self.soon(Step::Tell(by, event));
+        self.send(Step::Deliver(owner, event));
     }
 
     fn follow(&mut self, member: usize, term: u64) {
-        let known = &mut self.members[member];
-        if known.term < term {
-            known.term = term;
-            known.role = Role::Replica;
+        let node = &mut self.members[member];
+        if node.term < term {
+            node.term = term;
+            node.role = Role::Replica;
         }
-        if known.term <= term {
-            known.held = 0;
+        if node.term <= term {
+            node.fence_term = 0;
         }
     }
 
-    fn promote(&mut self, by: usize, (member, term): (usize, u64), number: u64, claim: &Claim) {
+    fn promote(
+        &mut self,
+        owner: usize,
+        (member, term): (usize, u64),
+        generation: u64,
+        claim: &Claim,
+    ) {
         let status = self.members[member].status();
         if status.promised != term
             || status.log.term >= term
-            || !claim.stands(self.known[by].as_ref())
+            || !claim.is_current(self.known_duties[owner].as_ref())
         {
             let answer = Err(MemberError::Superseded);
-            return self.soon(Step::Tell(by, Event::Promoted { term, answer }));
+            return self.send(Step::Deliver(owner, Event::Promoted { term, answer }));
         }
-        self.soon(Step::Order {
-            by,
+        self.send(Step::Order {
+            owner,
             member,
             term,
-            number,
+            generation,
         });
     }
 
-    fn lead(&mut self, by: usize, member: usize, term: u64) {
+    fn complete_promotion(&mut self, owner: usize, member: usize, term: u64) {
         let newest = self.members.iter().map(|m| m.term).max();
-        let known = &mut self.members[member];
-        if known.role == Role::Replica && !known.dark {
-            known.term = newest.expect("there are members") + 1;
-            known.role = Role::Primary;
-            known.held = 0;
+        let node = &mut self.members[member];
+        if node.role == Role::Replica && !node.unreachable {
+            node.term = newest.expect("there are members") + 1;
+            node.role = Role::Primary;
+            node.fence_term = 0;
         }
-        let answer = Ok(known.status());
-        self.soon(Step::Tell(by, Event::Promoted { term, answer }));
+        let answer = Ok(node.status());
+        self.send(Step::Deliver(owner, Event::Promoted { term, answer }));
     }
 
     fn crash(&mut self) {
-        let leads = |m: &Fake| m.role == Role::Primary && !m.dark;
+        let leads = |m: &FakeMember| m.role == Role::Primary && !m.unreachable;
         if let Some(primary) = self.members.iter().position(leads) {
-            self.members[primary].dark = true;
-            let back = ms(self.dice.random_range(1_500..3_500));
-            self.at(back, Step::Return(primary));
+            self.members[primary].unreachable = true;
+            let back = ms(self.rng.random_range(1_500..3_500));
+            self.schedule(back, Step::Restart(primary));
         }
     }
 }
 
 #[gtest]
-fn orders_of_a_box_without_the_table_and_of_one_in_touch_have_rising_numbers() {
+fn orders_of_boxes_with_and_without_the_table_have_rising_generations() {
     let mut by_box = [0; BOXES];
     for seed in 0..RUNS {
         let mut world = World::new(seed);
         world.run();
-        let numbers: Vec<u64> = world.orders.iter().map(|(number, _)| *number).collect();
-        expect_true!(numbers.is_sorted(), "seed {seed}: {:?}", world.orders);
-        for (_, by) in &world.orders {
-            by_box[*by] += 1;
+        let generations: Vec<u64> = world
+            .orders
+            .iter()
+            .map(|(generation, _)| *generation)
+            .collect();
+        expect_true!(generations.is_sorted(), "seed {seed}: {:?}", world.orders);
+        for (_, owner) in &world.orders {
+            by_box[*owner] += 1;
         }
     }
     println!("orders by box: {by_box:?}");
-    // Both must have had their part, or the runs show nothing.
+    // The runs prove nothing unless both boxes order promotions.
     expect_that!(by_box, each(gt(100)));
 }
--- a/tests/unit/randomised.rs
+++ b/tests/unit/randomised.rs
@@ -1,48 +1,48 @@
-//! Long randomised runs of the decisions, invariants asserted inside, histories checked.
+//! Long randomised runs of the decisions, whose histories are checked for violations.
 
 use googletest::prelude::*;
 use larkfall::decisions::group::Target;
 
-use super::fake::{Counts, Faults, MEMBERS, OWNERS, Without, World, ms};
+use super::fake::{Counts, Disabled, MEMBERS, OWNERS, Violations, World, ms};
 
 const RUNS: u64 = 40;
 const STEPS: u64 = 2_000;
 
-/// One run: statements all the time, a fault or a repair now and then.
-fn run(seed: u64, without: Without) -> (Faults, Counts) {
-    let mut world = World::new(seed, without);
+/// Runs statements without pause, with occasional faults and repairs.
+fn run(seed: u64, disabled: Disabled) -> (Violations, Counts) {
+    let mut world = World::new(seed, disabled);
     world.run_until(ms(50));
     for step in 0..STEPS {
-        statement(&mut world);
-        if world.roll(0..100) < 2 {
-            fault(&mut world);
+        submit_statement(&mut world);
+        if world.random(0..100) < 2 {
+            inject_fault(&mut world);
         }
         if step % 400 == 399 {
             world.heal();
         }
-        let pause = ms(world.roll(1..10));
+        let pause = ms(world.random(1..10));
         world.run_until(world.now + pause);
     }
     world.heal();
     world.run_until(world.now + ms(15_000));
     world.check();
-    (world.faults.clone(), world.counts.clone())
+    (world.violations.clone(), world.counts.clone())
 }
 
-fn statement(world: &mut World) {
-    let session = world.roll(0..world.sessions.len() as u64) as usize;
-    let owner = world.roll(0..OWNERS as u64) as usize;
-    match world.roll(0..10) {
+fn submit_statement(world: &mut World) {
+    let session = world.random(0..world.sessions.len() as u64) as usize;
+    let owner = world.random(0..OWNERS as u64) as usize;
+    match world.random(0..10) {
         0..4 => world.write(session, owner),
         4..6 => world.read(session, owner, Target::Strict),
         _ => world.read(session, owner, Target::Replica { max_age: ms(500) }),
     }
 }
 
-fn fault(world: &mut World) {
-    let member = world.roll(0..MEMBERS as u64) as usize;
+fn inject_fault(world: &mut World) {
+    let member = world.random(0..MEMBERS as u64) as usize;
     let other = (member + 1) % MEMBERS;
-    match world.roll(0..10) {
+    match world.random(0..10) {
         0 => world.kill(member),
         1 => world.revive(member),
         2 => world.freeze(member, true),
@@ -58,85 +58,85 @@
             }
         }
         7 => {
-            let length = ms(world.roll(10..2_500));
+            let length = ms(world.random(10..2_500));
             world.pause(member, length);
         }
         8 => {
-            let lag = ms(world.roll(0..800));
+            let lag = ms(world.random(0..800));
             world.set_lag(member, lag);
         }
-        _ => world.loss = world.roll(0..10) as f64 / 100.0,
+        _ => world.loss = world.random(0..10) as f64 / 100.0,
     }
 }
 
-fn totals(without: Without) -> (Faults, Counts) {
-    let mut faults = Faults::default();
+fn totals(disabled: Disabled) -> (Violations, Counts) {
+    let mut violations = Violations::default();
     let mut counts = Counts::default();
     for seed in 0..RUNS {
-        let (found, did) = run(seed, without);
-        if found != Faults::default() {
+        let (found, did) = run(seed, disabled);
+        if found != Violations::default() {
             println!("seed {seed}: {found:?}");
         }
-        faults.lost += found.lost;
-        faults.stale_own += found.stale_own;
-        faults.stale_strict += found.stale_strict;
-        faults.too_old += found.too_old;
-        faults.backward += found.backward;
-        faults.twice += found.twice;
-        faults.without_primary += found.without_primary;
+        violations.lost_writes += found.lost_writes;
+        violations.stale_own_reads += found.stale_own_reads;
+        violations.stale_strict_reads += found.stale_strict_reads;
+        violations.too_old_reads += found.too_old_reads;
+        violations.backward_reads += found.backward_reads;
+        violations.duplicate_writes += found.duplicate_writes;
+        violations.missing_primary += found.missing_primary;
         counts.acknowledged += did.acknowledged;
         counts.unknown += did.unknown;
         counts.refused += did.refused;
         counts.replica_reads += did.replica_reads;
         counts.primary_reads += did.primary_reads;
-        counts.replacements += did.replacements;
+        counts.failovers += did.failovers;
     }
-    counts.acks.clear();
+    counts.ack_times.clear();
     println!("{counts:?}");
-    (faults, counts)
+    (violations, counts)
 }
 
 #[gtest]
-fn nothing_promised_is_broken_under_failures() {
-    let (faults, counts) = totals(Without::default());
-    expect_that!(faults, eq(&Faults::default()));
-    // The runs must not be idle ones.
+fn failures_violate_no_guarantee() {
+    let (violations, counts) = totals(Disabled::default());
+    expect_that!(violations, eq(&Violations::default()));
+    // The runs prove nothing unless enough happened.
     expect_that!(counts.acknowledged, gt(1_000));
     expect_that!(counts.replica_reads, gt(1_000));
-    expect_that!(counts.replacements, gt(20));
+    expect_that!(counts.failovers, gt(20));
 }
 
 #[gtest]
-fn loss_and_jitter_replace_nobody() {
+fn message_loss_and_jitter_cause_no_failover() {
     for seed in 0..4 {
-        let mut world = World::new(seed, Without::default());
+        let mut world = World::new(seed, Disabled::default());
         world.loss = 0.03;
         for _ in 0..8_000 {
-            statement(&mut world);
-            let pause = ms(world.roll(1..6));
+            submit_statement(&mut world);
+            let pause = ms(world.random(1..6));
             world.run_until(world.now + pause);
         }
         world.heal();
         world.run_until(world.now + ms(5_000));
         world.check();
-        expect_that!(world.counts.replacements, eq(0), "seed {seed}");
-        expect_that!(world.faults, eq(&Faults::default()), "seed {seed}");
+        expect_that!(world.counts.failovers, eq(0), "seed {seed}");
+        expect_that!(world.violations, eq(&Violations::default()), "seed {seed}");
     }
 }
 
 #[gtest]
 fn without_confirmation_acknowledged_writes_are_lost() {
-    let without = Without {
+    let disabled = Disabled {
         confirmation: true,
-        ..Without::default()
+        ..Disabled::default()
     };
-    expect_that!(totals(without).0.lost, gt(0));
+    expect_that!(totals(disabled).0.lost_writes, gt(0));
 }
 
-/// A primary that freezes and comes back just as it is being replaced, while
-/// owners that have noticed nothing go on writing to it.
-fn frozen_until_fenced(seed: u64, without: Without) -> usize {
-    let mut world = World::new(seed, without);
+/// Freezes the primary until members are fenced, while other owners keep writing to it.
+/// Returns the number of lost writes.
+fn frozen_until_fenced(seed: u64, disabled: Disabled) -> usize {
+    let mut world = World::new(seed, disabled);
     world.run_until(ms(50));
     for round in 0..6 {
         let Some(leader) = world.leader() else { break };
@@ -153,41 +153,43 @@
         world.run_until(world.now + ms(3_000));
     }
     world.check();
-    world.faults.lost
+    world.violations.lost_writes
 }
 
 #[gtest]
-fn a_primary_that_returns_while_it_is_replaced_acknowledges_nothing_that_is_lost() {
+fn a_primary_that_returns_during_failover_acknowledges_no_lost_write() {
     let lost: usize = (0..20)
-        .map(|seed| frozen_until_fenced(seed, Without::default()))
+        .map(|seed| frozen_until_fenced(seed, Disabled::default()))
         .sum();
     expect_that!(lost, eq(0));
 }
 
 #[gtest]
 fn without_fences_acknowledged_writes_are_lost() {
-    let without = Without {
+    let disabled = Disabled {
         fences: true,
-        ..Without::default()
+        ..Disabled::default()
     };
-    let lost: usize = (0..20).map(|seed| frozen_until_fenced(seed, without)).sum();
+    let lost: usize = (0..20)
+        .map(|seed| frozen_until_fenced(seed, disabled))
+        .sum();
     expect_that!(lost, gt(0));
 }
 
 #[gtest]
 fn without_floors_sessions_miss_their_own_writes() {
-    let without = Without {
+    let disabled = Disabled {
         floors: true,
-        ..Without::default()
+        ..Disabled::default()
     };
-    expect_that!(totals(without).0.stale_own, gt(0));
+    expect_that!(totals(disabled).0.stale_own_reads, gt(0));
 }
 
 #[gtest]
 fn without_verification_strict_reads_come_from_replaced_primaries() {
-    let without = Without {
+    let disabled = Disabled {
         verification: true,
-        ..Without::default()
+        ..Disabled::default()
     };
-    expect_that!(totals(without).0.stale_strict, gt(0));
+    expect_that!(totals(disabled).0.stale_strict_reads, gt(0));
 }
--- a/tests/unit/restarted.rs
+++ b/tests/unit/restarted.rs
@@ -3,13 +3,13 @@
 
 use googletest::prelude::*;
 use larkfall::borders::member::Role;
-use larkfall::decisions::confirm::Outcome;
+use larkfall::decisions::confirmation::Outcome;
 use larkfall::decisions::group::{Action, Event, Note};
 use larkfall::declarations::resource::Member;
 use serde_json::json;
 
 use super::fake::ms;
-use super::lease::{Bench, member, plan, status};
+use super::lease::{Fixture, member, plan, status};
 
 /// A member that started at `born`.
 fn started(i: usize, born: u64) -> Member {
@@ -19,35 +19,35 @@
 }
 
 /// A group whose members started at the moment 1 and were all looked at.
-fn watched() -> Bench {
+fn watched() -> Fixture {
     let members = (0..3).map(|i| started(i, 1)).collect();
-    let mut bench = Bench::with(plan(members), 0, ms(0));
-    bench.look();
+    let mut bench = Fixture::with_plan(plan(members), 0, ms(0));
+    bench.report_all();
     bench
 }
 
 /// The list says when members started.
-fn list(bench: &mut Bench, born: [u64; 3]) {
+fn list(bench: &mut Fixture, born: [u64; 3]) {
     let members = (0..3).map(|i| started(i, born[i])).collect();
     let now = bench.now;
     bench.group.set_plan(plan(members), now);
-    bench.tell(Event::Tick);
+    bench.handle(Event::Tick);
 }
 
 /// The newest place of a member.
-fn place(bench: &Bench, i: usize) -> usize {
+fn place(bench: &Fixture, i: usize) -> usize {
     let name = format!("m{i}");
     let members = &bench.group.plan.members;
     let found = members.iter().rposition(|member| *member.name == *name);
     found.expect("it is listed")
 }
 
-fn promotes(bench: &Bench) -> usize {
-    bench.asked(|action| matches!(action, Action::Promote { .. }))
+fn promotes(bench: &Fixture) -> usize {
+    bench.count_actions(|action| matches!(action, Action::Promote { .. }))
 }
 
 /// Names of the members to which a request was assigned.
-fn runs_on(bench: &Bench, wanted: u64) -> Vec<String> {
+fn runs_on(bench: &Fixture, wanted: u64) -> Vec<String> {
     let places = bench.actions.iter().filter_map(|action| match action {
         Action::Assign { id, member, .. } if *id == wanted => Some(*member),
         _ => None,
@@ -61,12 +61,12 @@
 #[gtest]
 fn a_grant_from_before_a_restart_is_not_counted() {
     let mut bench = watched();
-    bench.ballot();
-    bench.grant(1, 10);
-    bench.grant(2, 10);
-    let term = bench.term();
+    bench.start_ballot();
+    bench.grant_fence(1, 10);
+    bench.grant_fence(2, 10);
+    let term = bench.ballot_term();
     list(&mut bench, [1, 1, 2]);
-    bench.tell(Event::Revoked { term });
+    bench.handle(Event::Revoked { term });
     expect_that!(promotes(&bench), eq(0));
 }
 
@@ -74,7 +74,7 @@
 fn nothing_is_read_on_a_member_that_started_again_before_it_was_looked_at() {
     let mut bench = watched();
     list(&mut bench, [1, 2, 2]);
-    bench.read(1, ms(500));
+    bench.submit_read(1, ms(500));
     expect_that!(runs_on(&bench, 1), not(contains(eq("m1"))));
     expect_that!(runs_on(&bench, 1), not(contains(eq("m2"))));
 }
@@ -83,7 +83,7 @@
 fn what_was_seen_of_members_before_they_started_again_renews_no_lease() {
     let mut bench = watched();
     list(&mut bench, [1, 2, 2]);
-    bench.write(1);
+    bench.record_write(1);
     expect_that!(bench.outcome(1), none());
     for replica in [1, 2] {
         let place = place(&bench, replica);
@@ -94,7 +94,7 @@
 }
 
 /// The primary writes, and a replica shows what it received of that.
-fn replicate(bench: &mut Bench, replica: usize, index: u64) {
+fn replicate(bench: &mut Fixture, replica: usize, index: u64) {
     bench.now += ms(5);
     bench.report(0, status(Role::Primary, 1, 1, index));
     bench.report(replica, status(Role::Replica, 1, 1, index + 1));
@@ -108,12 +108,12 @@
     let mut bench = watched();
     list(&mut bench, [1, 2, 1]);
     let replica = place(&bench, 1);
-    bench.pass(ms(900));
-    bench.write(1);
+    bench.advance(ms(900));
+    bench.record_write(1);
     replicate(&mut bench, replica, 12);
     expect_that!(bench.outcome(1), none());
-    bench.pass(ms(2_000));
-    bench.write(2);
+    bench.advance(ms(2_000));
+    bench.record_write(2);
     replicate(&mut bench, replica, 14);
     expect_that!(bench.outcome(2), some(eq(Outcome::Confirmed)));
 }
@@ -125,15 +125,15 @@
     for (index, leads) in [(10, true), (3, false)] {
         let mut bench = watched();
         list(&mut bench, [2, 1, 1]);
-        bench.arrive(1);
+        bench.submit_write(1);
         expect_that!(runs_on(&bench, 1), is_empty());
         let primary = place(&bench, 0);
         bench.report(primary, status(Role::Primary, 1, 1, index));
         bench.report(1, status(Role::Replica, 1, 1, 10));
         bench.report(2, status(Role::Replica, 1, 1, 10));
-        bench.arrive(2);
+        bench.submit_write(2);
         expect_that!(!runs_on(&bench, 2).is_empty(), eq(leads));
-        let doubts = bench.asked(|action| matches!(action, Action::Claim));
+        let doubts = bench.count_actions(|action| matches!(action, Action::Claim));
         expect_that!(doubts > 0, eq(!leads));
     }
 }
@@ -157,11 +157,11 @@
     let replica = place(&bench, 1);
     bench.report(replica, status(Role::Replica, 0, 0, 0));
     let nonsense = |action: &Action| matches!(action, Action::Note(Note::Nonsense { .. }));
-    expect_that!(bench.asked(nonsense), eq(0));
+    expect_that!(bench.count_actions(nonsense), eq(0));
     // It is told to follow the primary.
     let follows =
         |action: &Action| matches!(action, Action::Follow { member, .. } if *member == replica);
-    expect_that!(bench.asked(follows), gt(0));
+    expect_that!(bench.count_actions(follows), gt(0));
 }
 
 /// A former primary may return with a log that went its own way, as before its restart.
@@ -174,10 +174,10 @@
     list(&mut bench, [2, 1, 1]);
     let former = place(&bench, 0);
     // A new primary gets its time.
-    bench.pass(ms(1_100));
-    bench.tell(Event::Broken { member: 1 });
+    bench.advance(ms(1_100));
+    bench.handle(Event::Broken { member: 1 });
     for name in ["b1", "b2"] {
-        bench.tell(Event::Opinion {
+        bench.handle(Event::Opinion {
             from: name.into(),
             near: false,
             suspects: true,
@@ -185,17 +185,17 @@
     }
     bench.report(former, status(Role::Replica, 1, 2, 40));
     bench.report(2, status(Role::Replica, 2, 2, 11));
-    bench.pass(ms(20));
-    bench.tell(Event::Claimed { won: true });
-    let term = bench.term();
+    bench.advance(ms(20));
+    bench.handle(Event::Claimed { won: true });
+    let term = bench.ballot_term();
     for (member, log_term, index) in [(former, 1, 40), (2, 2, 11)] {
-        bench.tell(Event::Fenced {
+        bench.handle(Event::Fenced {
             member,
             term,
             answer: Ok(status(Role::Replica, log_term, term, index)),
         });
     }
-    bench.tell(Event::Revoked { term });
+    bench.handle(Event::Revoked { term });
     let promoted = bench.actions.iter().find_map(|action| match action {
         Action::Promote { member, .. } => Some(*member),
         _ => None,
--- a/tests/unit/setup.rs
+++ b/tests/unit/setup.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use larkfall::borders::table::Revision;
 use larkfall::borders::upstream::{Begin, Opening, Prepared, Setup};
-use larkfall::decisions::duty::{Ballot, Claim, Duty, taken};
+use larkfall::decisions::duty::{Ballot, Claim, Duty, next_duty};
 use larkfall::decisions::latency::Latency;
 use larkfall::decisions::setup::{Fitting, Step};
 
@@ -65,29 +65,32 @@
 }
 
 fn ballot(replaced: u64, turn: u64) -> Ballot {
-    Ballot { replaced, turn }
+    Ballot {
+        replaced,
+        term_offset: turn,
+    }
 }
 
 #[gtest]
 fn generations_rise_with_each_holder_and_are_never_shared() {
     let (a, b): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
-    let first = taken(None, &a, &ballot(1, 1));
-    expect_that!(taken(Some(&first), &a, &ballot(1, 1)), eq(&first));
-    let second = taken(Some(&first), &b, &ballot(1, 1));
+    let first = next_duty(None, &a, &ballot(1, 1));
+    expect_that!(next_duty(Some(&first), &a, &ballot(1, 1)), eq(&first));
+    let second = next_duty(Some(&first), &b, &ballot(1, 1));
     expect_that!(second.generation, gt(first.generation));
-    let third = taken(Some(&second), &a, &ballot(1, 1));
+    let third = next_duty(Some(&second), &a, &ballot(1, 1));
     expect_that!(third.generation, gt(second.generation));
     // A group that was made anew begins its terms again.
-    let anew = taken(Some(&third), &b, &ballot(0, 1));
+    let anew = next_duty(Some(&third), &b, &ballot(0, 1));
     expect_that!(anew.generation, gt(third.generation));
     // Two boxes that go on from the same number without the table.
     let known = Duty {
         holder: "c".into(),
         ..first
     };
-    let alone = taken(Some(&known), &a, &ballot(1, 1)).generation;
+    let alone = next_duty(Some(&known), &a, &ballot(1, 1)).generation;
     expect_that!(
-        taken(Some(&known), &b, &ballot(1, 1)).generation,
+        next_duty(Some(&known), &b, &ballot(1, 1)).generation,
         not(eq(alone))
     );
 }
@@ -98,14 +101,14 @@
     let at = |revision, duty: Duty| Duty { revision, ..duty };
     let claim = |duty: &Duty| Claim {
         duty: duty.clone(),
-        alone: false,
+        unconfirmed: false,
     };
-    let first = at(5.into(), taken(None, &a, &ballot(1, 1)));
-    expect_that!(claim(&first).stands(None), eq(true));
-    expect_that!(claim(&first).stands(Some(&first)), eq(true));
-    let second = at(6.into(), taken(Some(&first), &b, &ballot(1, 2)));
-    expect_that!(claim(&first).stands(Some(&second)), eq(false));
-    expect_that!(claim(&second).stands(Some(&first)), eq(true));
+    let first = at(5.into(), next_duty(None, &a, &ballot(1, 1)));
+    expect_that!(claim(&first).is_current(None), eq(true));
+    expect_that!(claim(&first).is_current(Some(&first)), eq(true));
+    let second = at(6.into(), next_duty(Some(&first), &b, &ballot(1, 2)));
+    expect_that!(claim(&first).is_current(Some(&second)), eq(false));
+    expect_that!(claim(&second).is_current(Some(&first)), eq(true));
 }
 
 /// What could have happened: a box orders under a claim that nobody but itself knows of any more,
@@ -114,14 +117,14 @@
 fn a_claim_does_not_stand_once_the_table_is_an_older_copy() {
     let a: Arc<str> = "a".into();
     let at = |revision, duty: Duty| Duty { revision, ..duty };
-    let first = at(Revision::new(1, 5), taken(None, &a, &ballot(1, 1)));
+    let first = at(Revision::new(1, 5), next_duty(None, &a, &ballot(1, 1)));
     let claim = Claim {
         duty: first.clone(),
-        alone: false,
+        unconfirmed: false,
     };
-    expect_that!(claim.stands(Some(&first)), eq(true));
+    expect_that!(claim.is_current(Some(&first)), eq(true));
     let again = at(Revision::new(2, 3), first);
-    expect_that!(claim.stands(Some(&again)), eq(false));
+    expect_that!(claim.is_current(Some(&again)), eq(false));
 }
 
 /// As on trouble-1 of cosecha-larkfall, seed 1055612176309.
@@ -130,24 +133,24 @@
     // The first is cut off from the table; the second, whose ballot comes later,
     // cannot know of its number, but has seen its term at the members.
     let claim = |known: Option<&Duty>, holder: &str| Claim {
-        duty: taken(known, &holder.into(), &ballot(3, 1)),
-        alone: true,
+        duty: next_duty(known, &holder.into(), &ballot(3, 1)),
+        unconfirmed: true,
     };
     let first = claim(None, "edge-santiago-a-3");
     let second = claim(None, "edge-santiago-b-2");
-    let number = first.number(&ballot(3, 1));
-    expect_that!(second.number(&ballot(3, 3)), gt(number));
+    let number = first.generation(&ballot(3, 1));
+    expect_that!(second.generation(&ballot(3, 3)), gt(number));
     // Also where it has held the duty all along, and the first took itself for the
     // next holder.
     let held = claim(None, "edge-santiago-b-2").duty;
     let first = claim(Some(&held), "edge-santiago-a-3");
-    let number = first.number(&ballot(3, 2));
+    let number = first.generation(&ballot(3, 2));
     let again = claim(Some(&held), "edge-santiago-b-2");
-    expect_that!(again.number(&ballot(3, 3)), gt(number));
+    expect_that!(again.generation(&ballot(3, 3)), gt(number));
     // And after the promotion, whatever the terms of later ballots.
-    expect_that!(again.number(&ballot(4, 1)), gt(number));
+    expect_that!(again.generation(&ballot(4, 1)), gt(number));
     // Who takes the duty over is above every least number of who had it.
-    let next = taken(
+    let next = next_duty(
         Some(&first.duty),
         &"edge-santiago-b-2".into(),
         &ballot(1, 1),
