--- a/src/decisions/failover.rs
+++ b/src/decisions/failover.rs
@@ -1,9 +1,9 @@
 //! Failover of a group's primary: suspect, corroborate, fence, promote.
 //!
-//! The members act as acceptors of a ballot: each grants a term to one box only, so
-//! at most one box gets a majority for a term. The box promotes the granting member
-//! with the greatest log, which holds every acknowledged write. A box whose ballot
-//! fails, or that misses an answer, tries again with a higher term.
+//! A ballot is one box's attempt, under a term of its own. The members act as acceptors:
+//! each grants a term to one box only, so at most one box gets a majority for a term. The
+//! box promotes the granting member with the greatest log, which holds every acknowledged
+//! write. A box whose ballot fails, or that misses an answer, tries a higher term.
 //!
 //! Where a primary can't be fenced, a box acknowledges writes under a lease: it saw a
 //! majority of members unfenced within the lease's length. A box then promotes only
@@ -34,14 +34,14 @@
     pub poll_interval: Duration,
     /// Time after which a ballot without a majority has failed.
     pub ballot_timeout: Duration,
-    /// Time for which this box holds back after it last saw another box's fence. Zero
-    /// where the members decide between rival ballots.
+    /// Time for which this box holds back after it first saw the fence of a rival ballot.
+    /// Zero where the members decide between rival ballots.
     pub rival_backoff: Duration,
     /// Minimum time from a failover to the next suspicion of the primary.
     pub cooldown: Duration,
     /// Time after which a promised term without a primary counts as abandoned.
     pub abandon_timeout: Duration,
-    /// Time after a fence by which a promotion that relies on it has become visible.
+    /// Time after a fence by which a promotion that relies on it is visible.
     pub settle_time: Duration,
     /// Usual time from the first suspicion to a new primary.
     pub expected_duration: Duration,
@@ -229,11 +229,11 @@
     ballot_term: u64,
     /// Highest promise known when this box's last ballot began.
     promised_before_ballot: u64,
-    /// When another box's new fence was last seen at a member.
+    /// When a new fence of another box was last discovered.
     rival_fenced: Option<Duration>,
     /// Highest promise seen since the current term began, including released ones.
     highest_seen: u64,
-    /// Fences above the current term for which no primary has appeared.
+    /// Fences above the current term for which no primary has appeared yet.
     orphaned: Option<OrphanedFences>,
     phase: Phase,
     /// When the latest new primary was adopted.
--- a/src/decisions/failover/ballot.rs
+++ b/src/decisions/failover/ballot.rs
@@ -36,7 +36,8 @@
 
     /// Returns the term of this box's next ballot.
     fn next_term(&self) -> u64 {
-        // These members grant a term to any box that asks, so each rank uses its own terms.
+        // Where fences can be released, members may grant one term to several boxes, so each
+        // rank uses terms of its own.
         let rank_offset = match self.settings.promotion_clears_fences {
             true => u64::from(self.rank),
             false => 0,
--- a/src/decisions/failover/orphaned.rs
+++ b/src/decisions/failover/orphaned.rs
@@ -1,4 +1,4 @@
-//! Orphaned fences: fences above the current term for which no primary has appeared.
+//! Orphaned fences: fences above the current term for which no primary has appeared yet.
 //!
 //! A fence keeps its member from confirming the old primary's writes while another member
 //! is promoted. A box may release one only if no member was or will be promoted because of
@@ -23,7 +23,7 @@
     newest_seen: Duration,
     /// Members, including former ones, not seen since a promotion would be visible.
     unseen: BTreeSet<usize>,
-    /// Whether the members were probed to be seen.
+    /// Whether the members were probed for a report since `newest_seen`.
     probed: bool,
 }
 
