--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -374,50 +374,50 @@
         self.note_spent(now, &mut out);
         match event {
             Event::Tick => {}
-            Event::Arrive(request) => self.place(request, now, &mut out),
-            Event::Withdraw { id } => self.withdraw(id),
+            Event::Arrived(request) => self.place(request, now, &mut out),
+            Event::Withdrawn { id } => self.withdraw(id),
             Event::Answered {
                 member,
                 began,
                 position,
-                led,
+                proves_primary: led,
             } => self.answered(member, began, position, led, now, &mut out),
-            Event::Release { member, took } => self.release(member, took, now, &mut out),
-            Event::Rest { member, took } => self.rest(member, took, now, &mut out),
-            Event::Resume { member } => self.members[member].fair.resume(),
-            Event::Vacate { member } => self.vacate(member, now, &mut out),
-            Event::Late { member, after } => {
+            Event::SlotReleased { member, took } => self.release(member, took, now, &mut out),
+            Event::TransactionIdle { member, took } => self.rest(member, took, now, &mut out),
+            Event::TransactionResumed { member } => self.members[member].fair.resume(),
+            Event::IdleTransactionEnded { member } => self.vacate(member, now, &mut out),
+            Event::AnswerTimedOut { member, after } => {
                 self.members[member].latency.late(after, now);
                 self.members[member].detector.hurry(now);
                 if self.members[member].spec.domain != self.domain {
                     self.hurry_far(now);
                 }
             }
-            Event::Full { member } => self.full(member, now),
-            Event::Look => self.want_all(),
-            Event::Hurry => self.hurry_far(now),
-            Event::Unreached { member } => {
+            Event::ConnectionLimitReached { member } => self.full(member, now),
+            Event::ProbeAll => self.want_all(),
+            Event::ProbeOtherDomains => self.hurry_far(now),
+            Event::ConnectTimedOut { member } => {
                 self.members[member].wanted = true;
                 self.members[member].detector.hurry(now);
             }
-            Event::Behind { member } => {
+            Event::ReplicaBehind { member } => {
                 self.members[member].applied = Position::ZERO;
                 self.members[member].wanted = true;
             }
-            Event::Asked => {
+            Event::OpinionRequested => {
                 // Owners that are not the first look seldom: now is the time.
                 if let Some(primary) = self.replace.primary {
                     self.members[primary].detector.hurry(now);
                 }
             }
-            Event::Broken { member } => self.broken(member, now, &mut out),
-            Event::Wrote {
+            Event::ConnectionLost { member } => self.broken(member, now, &mut out),
+            Event::ConfirmWrite {
                 id,
                 member,
                 position,
                 deadline,
             } => self.wrote(id, member, position, deadline, now, &mut out),
-            Event::Verify {
+            Event::ConfirmRead {
                 id,
                 term,
                 since,
@@ -431,7 +431,7 @@
                 };
                 self.verify(id, need, since, deadline, now, &mut out);
             }
-            Event::Status {
+            Event::Probed {
                 member,
                 began,
                 answer,
@@ -446,27 +446,27 @@
                 let steps = self.replace.fenced(member, term, &answer, now);
                 self.take_steps(steps, now, &mut out);
             }
-            Event::Claimed { won } => {
+            Event::DutyClaimed { won } => {
                 let steps = self.replace.claimed(won, now);
                 self.take_steps(steps, now, &mut out);
             }
-            Event::DutyTaken => self.replace.note_foreign(now),
-            Event::Revoke => self.revoke(now),
-            Event::Revoked { term } => {
+            Event::DutyTakenElsewhere => self.replace.note_foreign(now),
+            Event::RevokeLease => self.revoke(now),
+            Event::LeasesRevoked { term } => {
                 let steps = self.replace.revoked(term, now);
                 self.take_steps(steps, now, &mut out);
             }
-            Event::Listed { listed } => self.listed = listed,
+            Event::BoxListed { listed } => self.listed = listed,
             Event::Promoted { term, answer } => {
                 let steps = self.replace.promoted(term, &answer, now);
                 self.take_steps(steps, now, &mut out);
             }
-            Event::Opinion {
+            Event::OpinionReceived {
                 from,
                 near,
                 suspects,
             } => self.replace.opinion(from, near, suspects),
-            Event::News { term, primary } => self.news(term, &primary, now, &mut out),
+            Event::PrimaryAnnounced { term, primary } => self.news(term, &primary, now, &mut out),
         }
         self.tick(now, &mut out);
         self.check();
--- a/src/decisions/group/message.rs
+++ b/src/decisions/group/message.rs
@@ -121,9 +121,9 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     Tick,
-    Arrive(Request),
+    Arrived(Request),
     /// The caller of a waiting request went away.
-    Withdraw {
+    Withdrawn {
         id: u64,
     },
     /// A member answered a statement that was sent to it after `began`.
@@ -132,53 +132,53 @@
         began: Duration,
         position: Option<Position>,
         /// Only the primary answers such a statement.
-        led: bool,
+        proves_primary: bool,
     },
     /// A statement left its member.
-    Release {
+    SlotReleased {
         member: usize,
         took: Duration,
     },
     /// A statement was answered, and its transaction rests.
-    Rest {
+    TransactionIdle {
         member: usize,
         took: Duration,
     },
     /// A resting transaction's next statement is sent.
-    Resume {
+    TransactionResumed {
         member: usize,
     },
     /// A resting transaction is given up.
-    Vacate {
+    IdleTransactionEnded {
         member: usize,
     },
     /// A member's answer is not waited for any more.
-    Late {
+    AnswerTimedOut {
         member: usize,
         after: Duration,
     },
     /// A member takes no more connections.
-    Full {
+    ConnectionLimitReached {
         member: usize,
     },
     /// A connection was not made in time.
-    Unreached {
+    ConnectTimedOut {
         member: usize,
     },
     /// A connection could not be made or was lost.
-    Broken {
+    ConnectionLost {
         member: usize,
     },
     /// A member answered as if it were not what we take it for.
-    Look,
+    ProbeAll,
     /// Something speaks for a cut: members of other failure domains are looked at now.
-    Hurry,
+    ProbeOtherDomains,
     /// A replica's log lacked a floor that it was believed to hold.
-    Behind {
+    ReplicaBehind {
         member: usize,
     },
     /// A write's answer came; it waits for confirmation.
-    Wrote {
+    ConfirmWrite {
         id: u64,
         member: usize,
         position: Position,
@@ -186,14 +186,14 @@
     },
     /// A read's answer came from the primary. It may be given out when the term
     /// is seen not to be replaced after `since`, and a majority holds what it saw.
-    Verify {
+    ConfirmRead {
         id: u64,
         term: u64,
         since: Duration,
         position: Option<Position>,
         deadline: Duration,
     },
-    Status {
+    Probed {
         member: usize,
         began: Duration,
         answer: Result<Status, MemberError>,
@@ -204,19 +204,19 @@
         answer: Result<Status, MemberError>,
     },
     /// The outcome of a claim to the duty of promoting.
-    Claimed {
+    DutyClaimed {
         won: bool,
     },
     /// Another box has taken that duty.
-    DutyTaken,
+    DutyTakenElsewhere,
     /// Another box has fenced a majority: what was seen before counts no more.
-    Revoke,
+    RevokeLease,
     /// All other boxes have given up their leases for the ballot of this term.
-    Revoked {
+    LeasesRevoked {
         term: u64,
     },
     /// Whether those who promote know of this box, so that it may use leases.
-    Listed {
+    BoxListed {
         listed: bool,
     },
     Promoted {
@@ -224,15 +224,15 @@
         answer: Result<Status, MemberError>,
     },
     /// Another owner suspects the primary and asks what this one thinks.
-    Asked,
+    OpinionRequested,
     /// Another owner's view of the primary.
-    Opinion {
+    OpinionReceived {
         from: Arc<str>,
         near: bool,
         suspects: bool,
     },
     /// A peer or the table names the primary of a term.
-    News {
+    PrimaryAnnounced {
         term: u64,
         primary: Arc<str>,
     },
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -144,7 +144,7 @@
             Message::Ask(ask) => self.ask(ask),
             Message::Withdraw { group, id } => {
                 if self.grants.remove(&id).is_some() {
-                    self.handle(&group, Event::Withdraw { id });
+                    self.handle(&group, Event::Withdrawn { id });
                 }
             }
             Message::Settle(settle) => self.settle(settle),
@@ -177,7 +177,7 @@
                 self.tell_listed();
             }
             Message::Revoke { group, reply } => {
-                self.handle(&group, Event::Revoke);
+                self.handle(&group, Event::RevokeLease);
                 let owned = self.groups.get(&group);
                 // Who promotes as well must not be overtaken by an order that did not
                 // wait: its own may be under way, under a lower number.
@@ -200,7 +200,7 @@
             Message::Opinion { group, term, reply } => {
                 let owned = self.groups.get(&group);
                 let _ = reply.send(owned.map(|owned| owned.group.suspects(term)));
-                self.handle(&group, Event::Asked);
+                self.handle(&group, Event::OpinionRequested);
             }
             Message::Dump(reply) => {
                 let now = self.context.now();
@@ -243,7 +243,7 @@
             deadline: ask.deadline,
             aim: ask.aim,
         };
-        self.handle(&ask.group, Event::Arrive(request));
+        self.handle(&ask.group, Event::Arrived(request));
     }
 
     fn settle(&mut self, settle: Settle) {
@@ -258,7 +258,7 @@
         let member = settle.member;
         let deadline = settle.deadline;
         let event = match settle.need {
-            SettleNeed::Wrote(position) => Event::Wrote {
+            SettleNeed::Wrote(position) => Event::ConfirmWrite {
                 id,
                 member,
                 position,
@@ -268,7 +268,7 @@
                 term,
                 since,
                 position,
-            } => Event::Verify {
+            } => Event::ConfirmRead {
                 id,
                 term,
                 since,
@@ -316,7 +316,7 @@
 ) {
     loop {
         border.gone().await;
-        context.tell(&group, incarnation, Event::Broken { member });
+        context.tell(&group, incarnation, Event::ConnectionLost { member });
         tokio::time::sleep(GONE_RETRY).await;
     }
 }
--- a/src/node/driver/acting.rs
+++ b/src/node/driver/acting.rs
@@ -32,7 +32,7 @@
                 let reply = self.grants.remove(&request);
                 let gone = reply.is_none_or(|(_, reply)| reply.send(Ok(grant)).is_err());
                 let took = self.settings.service;
-                return gone.then_some(Event::Release { member, took });
+                return gone.then_some(Event::SlotReleased { member, took });
             }
             Action::Refuse {
                 id: request,
@@ -54,7 +54,7 @@
             Action::Revoke { term } => self.revoke(id, owned, term),
             // Its process may end before the ballot, and leave fences behind.
             Action::Claim if *self.context.leaving.borrow() => {
-                return Some(Event::Claimed { won: false });
+                return Some(Event::DutyClaimed { won: false });
             }
             Action::Claim => {
                 let context = self.context.clone();
@@ -69,7 +69,7 @@
                         group: group.clone(),
                         claim,
                     });
-                    context.tell(&group, incarnation, Event::Claimed { won });
+                    context.tell(&group, incarnation, Event::DutyClaimed { won });
                 });
             }
             Action::Fence { member, term } => {
@@ -100,7 +100,7 @@
                 self.spawn(id, async move {
                     // Whether it worked shows in the next report.
                     let _ = border.release().await;
-                    Event::Look
+                    Event::ProbeAll
                 });
             }
             Action::Promote { member, term } => {
@@ -130,7 +130,7 @@
                 let address = owned.group.plan.members[primary].address.clone();
                 self.spawn(id, async move {
                     let _ = border.follow(term, &address).await;
-                    Event::Look
+                    Event::ProbeAll
                 });
             }
             Action::Ask => self.ask_peers(id, owned),
@@ -169,7 +169,7 @@
         let began = self.context.now();
         self.spawn(id, async move {
             let answer = border.status().await;
-            Event::Status {
+            Event::Probed {
                 member,
                 began,
                 answer,
@@ -192,7 +192,7 @@
             let incarnation = owned.incarnation;
             tokio::task::spawn_local(async move {
                 if let Some(suspects) = asked.await {
-                    let event = Event::Opinion {
+                    let event = Event::OpinionReceived {
                         from,
                         near,
                         suspects,
@@ -227,7 +227,7 @@
             let listed = context.table.head().await.is_ok();
             let given_up = futures::future::join_all(asked).await;
             if listed && given_up.into_iter().all(|done| done) {
-                context.tell(&group, incarnation, Event::Revoked { term });
+                context.tell(&group, incarnation, Event::LeasesRevoked { term });
             }
         });
     }
--- a/src/node/driver/owning.rs
+++ b/src/node/driver/owning.rs
@@ -106,7 +106,7 @@
         self.groups.insert(id.clone(), owned);
         self.join_new(&id);
         let listed = self.is_listed();
-        self.handle(&id, Event::Listed { listed });
+        self.handle(&id, Event::BoxListed { listed });
     }
 
     /// Makes the borders of members that have none yet.
@@ -159,7 +159,7 @@
         let listed = self.is_listed();
         let groups: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for group in groups {
-            self.handle(&group, Event::Listed { listed });
+            self.handle(&group, Event::BoxListed { listed });
         }
     }
 
@@ -196,14 +196,14 @@
         let taken = duties.filter(|(group, duty)| foreign(group, duty));
         let taken: Vec<Arc<str>> = taken.map(|(group, _)| group.clone()).collect();
         for group in taken {
-            self.handle(&group, Event::DutyTaken);
+            self.handle(&group, Event::DutyTakenElsewhere);
         }
     }
 
     pub(super) fn tell_primaries(&mut self) {
         let primaries = self.snapshot.primaries.clone();
         for (id, record) in primaries.iter() {
-            let event = Event::News {
+            let event = Event::PrimaryAnnounced {
                 term: record.term,
                 primary: record.member.clone(),
             };
--- a/src/node/driver/reaching.rs
+++ b/src/node/driver/reaching.rs
@@ -101,7 +101,7 @@
     fn hurry(&mut self) {
         let groups: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for group in groups {
-            self.handle(&group, Event::Hurry);
+            self.handle(&group, Event::ProbeOtherDomains);
         }
     }
 
@@ -109,14 +109,14 @@
     pub(super) fn note_sight(&mut self, group: &Arc<str>, event: &Event) {
         let (member, answered) = match event {
             Event::Answered { member, .. }
-            | Event::Status {
+            | Event::Probed {
                 member,
                 answer: Ok(_),
                 ..
             } => (*member, true),
-            Event::Late { member, .. } | Event::Unreached { member } | Event::Broken { member } => {
-                (*member, false)
-            }
+            Event::AnswerTimedOut { member, .. }
+            | Event::ConnectTimedOut { member }
+            | Event::ConnectionLost { member } => (*member, false),
             _ => return,
         };
         let Some(owned) = self.groups.get(group) else {
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -162,9 +162,9 @@
     fn take_back(&self, lease: Lease, why: Unrun) {
         let member = lease.place.grant.member;
         match why {
-            Unrun::Lagging => lease.place.tell(Event::Behind { member }),
-            Unrun::Busy => lease.place.tell(Event::Full { member }),
-            Unrun::NotPrimary | Unrun::NotPrepared => lease.place.tell(Event::Look),
+            Unrun::Lagging => lease.place.tell(Event::ReplicaBehind { member }),
+            Unrun::Busy => lease.place.tell(Event::ConnectionLimitReached { member }),
+            Unrun::NotPrimary | Unrun::NotPrepared => lease.place.tell(Event::ProbeAll),
         }
         self.pool.put(&lease.place.grant.spec, lease.connection);
     }
@@ -223,10 +223,10 @@
         taken.map_err(|error| {
             let member = place.grant.member;
             match error {
-                ConnectError::Lost(_) => place.tell(Event::Broken { member }),
-                ConnectError::Late => place.tell(Event::Unreached { member }),
-                ConnectError::Stranger(_) => place.tell(Event::Look),
-                ConnectError::Full(_) => place.tell(Event::Full { member }),
+                ConnectError::Lost(_) => place.tell(Event::ConnectionLost { member }),
+                ConnectError::Late => place.tell(Event::ConnectTimedOut { member }),
+                ConnectError::Stranger(_) => place.tell(Event::ProbeAll),
+                ConnectError::Full(_) => place.tell(Event::ConnectionLimitReached { member }),
             }
             let fields: [(_, &dyn std::fmt::Display); 3] = [
                 ("group", &place.group),
@@ -297,7 +297,7 @@
                     member: place.grant.member,
                     began,
                     position: answer.position,
-                    led: place.grant.primary
+                    proves_primary: place.grant.primary
                         && answer.verdict == Verdict::Done
                         && exchange.proves_lead(),
                 });
@@ -323,8 +323,8 @@
         let member = place.grant.member;
         let after = self.context.now() - began;
         match error {
-            UpstreamError::Lost(_) => place.tell(Event::Broken { member }),
-            UpstreamError::Late => place.tell(Event::Late { member, after }),
+            UpstreamError::Lost(_) => place.tell(Event::ConnectionLost { member }),
+            UpstreamError::Late => place.tell(Event::AnswerTimedOut { member, after }),
             UpstreamError::Nonsense(_) => {}
         }
         let after = after.as_millis();
--- a/src/node/place.rs
+++ b/src/node/place.rs
@@ -25,8 +25,8 @@
     fn drop(&mut self) {
         let member = self.grant.member;
         self.tell(match self.resting {
-            true => Event::Vacate { member },
-            false => Event::Release {
+            true => Event::IdleTransactionEnded { member },
+            false => Event::SlotReleased {
                 member,
                 took: self.took(),
             },
@@ -42,7 +42,7 @@
     /// The transaction rests until the caller's next statement.
     pub fn rest(&mut self) {
         self.resting = true;
-        self.tell(Event::Rest {
+        self.tell(Event::TransactionIdle {
             member: self.grant.member,
             took: self.took(),
         });
@@ -52,7 +52,7 @@
     pub fn resume(&mut self) {
         if std::mem::take(&mut self.resting) {
             self.turn = self.context.now();
-            self.tell(Event::Resume {
+            self.tell(Event::TransactionResumed {
                 member: self.grant.member,
             });
         }
--- a/tests/unit/departing.rs
+++ b/tests/unit/departing.rs
@@ -119,7 +119,7 @@
         for by in 0..BOXES {
             let group = world.group(by);
             world.boxes.push(group);
-            world.at(ms(0), Due::Tell(by, Event::Listed { listed: true }));
+            world.at(ms(0), Due::Tell(by, Event::BoxListed { listed: true }));
         }
         world
     }
@@ -226,7 +226,7 @@
         self.boxes[by] = self.group(by);
         self.due
             .retain(|_, due| !matches!(due, Due::Tell(to, _) | Due::List(to, _) if *to == by));
-        self.at(ms(0), Due::Tell(by, Event::Listed { listed: true }));
+        self.at(ms(0), Due::Tell(by, Event::BoxListed { listed: true }));
         if self.dice.random_range(0..3) > 0 {
             let after = ms(self.dice.random_range(10..400));
             self.at(after, Due::Ages(by));
@@ -313,7 +313,7 @@
             deadline: self.now + ms(1_200),
             aim: None,
         };
-        self.tell(by, Event::Arrive(request));
+        self.tell(by, Event::Arrived(request));
     }
 
     fn tell(&mut self, by: usize, event: Event) {
@@ -336,9 +336,9 @@
             Action::Claim => self.claim(by),
             Action::Revoke { term } => {
                 for of in (0..BOXES).filter(|of| *of != by) {
-                    self.at(STEP, Due::Tell(of, Event::Revoke));
+                    self.at(STEP, Due::Tell(of, Event::RevokeLease));
                 }
-                self.at(STEP * 2, Due::Tell(by, Event::Revoked { term }));
+                self.at(STEP * 2, Due::Tell(by, Event::LeasesRevoked { term }));
             }
             Action::Fence { member, term } => self.fence(by, member, term),
             Action::Release { member } => {
@@ -360,7 +360,7 @@
             true => Ok(known.status()),
             false => Err(MemberError::Broken),
         };
-        let event = Event::Status {
+        let event = Event::Probed {
             member,
             began: self.now,
             answer,
@@ -374,7 +374,7 @@
         if won {
             self.claimed = Some(self.now);
         }
-        self.at(STEP, Due::Tell(by, Event::Claimed { won }));
+        self.at(STEP, Due::Tell(by, Event::DutyClaimed { won }));
     }
 
     fn fence(&mut self, by: usize, member: usize, term: u64) {
@@ -401,7 +401,7 @@
     fn ask(&mut self, by: usize) {
         let term = self.boxes[by].term();
         for other in (0..BOXES).filter(|other| *other != by) {
-            let event = Event::Opinion {
+            let event = Event::OpinionReceived {
                 from: format!("b{other}").into(),
                 near: false,
                 suspects: self.boxes[other].suspects(term),
@@ -422,7 +422,7 @@
             }
         }
         let took = ms(20);
-        self.at(took, Due::Tell(by, Event::Release { member, took }));
+        self.at(took, Due::Tell(by, Event::SlotReleased { member, took }));
     }
 
     fn lead(&mut self, by: usize, place: usize, term: u64) {
--- a/tests/unit/fake.rs
+++ b/tests/unit/fake.rs
@@ -363,7 +363,7 @@
         for owner in 0..OWNERS {
             if !self.is_cut(owner, member) {
                 let at = self.now + self.delay();
-                let event = Event::Broken { member };
+                let event = Event::ConnectionLost { member };
                 self.at(at, Delivery::ToOwner { owner, event });
             }
         }
@@ -471,7 +471,7 @@
             self.now,
             Delivery::ToOwner {
                 owner,
-                event: Event::Arrive(request),
+                event: Event::Arrived(request),
             },
         );
     }
@@ -574,14 +574,14 @@
             if self.domains_cut(owner, other) || paused || self.lost() {
                 continue;
             }
-            let event = Event::Opinion {
+            let event = Event::OpinionReceived {
                 from: format!("b{other}").into(),
                 near: false,
                 suspects: self.owners[other].suspects(term),
             };
             let at = self.now + self.delay() + self.delay();
             self.at(at, Delivery::ToOwner { owner, event });
-            let event = Event::Asked;
+            let event = Event::OpinionRequested;
             self.at(
                 self.now,
                 Delivery::ToOwner {
@@ -819,11 +819,11 @@
                 member: statement.member,
                 began,
                 position: Some(ran.position),
-                led: statement.value.is_some(),
+                proves_primary: statement.value.is_some(),
             };
             self.tell(owner, answered);
         }
-        let release = Event::Release {
+        let release = Event::SlotReleased {
             member: statement.member,
             took: self.now - began,
         };
@@ -836,7 +836,7 @@
         let deadline = self.now + ms(2_000);
         match (statement.value, statement.target) {
             (Some(_), _) => {
-                let event = Event::Wrote {
+                let event = Event::ConfirmWrite {
                     id,
                     member: statement.member,
                     position: ran.position,
@@ -856,7 +856,7 @@
     }
 
     fn verify(&mut self, owner: usize, id: u64, statement: &Statement, since: Duration) {
-        let event = Event::Verify {
+        let event = Event::ConfirmRead {
             id,
             term: statement.term,
             since,
@@ -935,11 +935,11 @@
             answer,
         },
         Call::Promote(term) => Event::Promoted { term, answer },
-        Call::Status => Event::Status {
+        Call::Status => Event::Probed {
             member,
             began,
             answer,
         },
-        Call::Follow(..) | Call::Run(_) => Event::Look,
+        Call::Follow(..) | Call::Run(_) => Event::ProbeAll,
     }
 }
--- a/tests/unit/group.rs
+++ b/tests/unit/group.rs
@@ -19,7 +19,7 @@
 }
 
 fn told(status: Status) -> Event {
-    Event::Status {
+    Event::Probed {
         member: 0,
         began: ms(1),
         answer: Ok(status),
@@ -82,7 +82,7 @@
     let mut now = ms(2);
     while !is_suspected(&group) && now < ms(10_000) {
         now += ms(25);
-        group.handle(Event::Asked, now);
+        group.handle(Event::OpinionRequested, now);
     }
     // Three tries of 200 ms, not the four seconds between two looks.
     expect_that!(now, le(ms(1_000)));
@@ -96,14 +96,14 @@
     let at = Position::new;
     for member in 0..3 {
         let answer = Ok(status(1, at(1, 5), at(1, 5)));
-        let event = Event::Status {
+        let event = Event::Probed {
             member,
             began: ms(1),
             answer,
         };
         group.handle(event, ms(2));
     }
-    let late = Event::Late {
+    let late = Event::AnswerTimedOut {
         member: 1,
         after: ms(100),
     };
@@ -137,7 +137,7 @@
     while promoted.is_none() && now < ms(10_000) {
         let mut actions = Vec::new();
         for member in [1, 2] {
-            let event = Event::Status {
+            let event = Event::Probed {
                 member,
                 began: now,
                 answer: Ok(replica(fence.unwrap_or(5))),
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -96,7 +96,7 @@
             actions: Vec::new(),
         };
         bench.group.set_rank(rank, 1);
-        bench.tell(Event::Listed { listed: true });
+        bench.tell(Event::BoxListed { listed: true });
         bench
     }
 
@@ -107,7 +107,7 @@
     pub fn report(&mut self, member: usize, status: Status) {
         let began = self.now;
         self.now += ms(1);
-        self.tell(Event::Status {
+        self.tell(Event::Probed {
             member,
             began,
             answer: Ok(status),
@@ -133,7 +133,7 @@
     pub fn write(&mut self, id: u64) {
         let position = Position::new(1, 11);
         let deadline = self.now + ms(700);
-        self.tell(Event::Wrote {
+        self.tell(Event::ConfirmWrite {
             id,
             member: 0,
             position,
@@ -144,7 +144,7 @@
     /// A read comes that may be this old, with 700 ms left.
     pub fn read(&mut self, id: u64, max_age: Duration) {
         let now = self.now;
-        self.tell(Event::Arrive(Request {
+        self.tell(Event::Arrived(Request {
             id,
             partner: "p".into(),
             weight: 1,
@@ -160,7 +160,7 @@
     /// A write comes, with 700 ms left.
     pub fn arrive(&mut self, id: u64) {
         let now = self.now;
-        self.tell(Event::Arrive(Request {
+        self.tell(Event::Arrived(Request {
             id,
             partner: "p".into(),
             weight: 1,
@@ -186,9 +186,9 @@
 
     /// The primary breaks, the others agree, and the duty is won.
     pub fn ballot(&mut self) {
-        self.tell(Event::Broken { member: 0 });
+        self.tell(Event::ConnectionLost { member: 0 });
         for name in ["b1", "b2"] {
-            self.tell(Event::Opinion {
+            self.tell(Event::OpinionReceived {
                 from: name.into(),
                 near: false,
                 suspects: true,
@@ -197,7 +197,7 @@
         self.report(1, status(Role::Replica, 1, 1, 10));
         self.report(2, status(Role::Replica, 1, 1, 10));
         self.pass(ms(20));
-        self.tell(Event::Claimed { won: true });
+        self.tell(Event::DutyClaimed { won: true });
     }
 
     /// The ballot's term, from the fences that were asked for.
@@ -265,7 +265,7 @@
             member: 0,
             began,
             position: Some(Position::new(1, 11 + round)),
-            led: true,
+            proves_primary: true,
         });
         bench.now = now + ms(50);
         let began = bench.now;
@@ -273,7 +273,7 @@
             member: 1,
             began,
             position: Some(Position::new(1, 11 + round)),
-            led: false,
+            proves_primary: false,
         });
     }
     bench.write(1);
@@ -293,7 +293,7 @@
     expect_that!(bench.outcome(1), none());
     // Nor do looks that began after the write's answer, nor for a read.
     let now = bench.now;
-    bench.tell(Event::Verify {
+    bench.tell(Event::ConfirmRead {
         id: 2,
         term: 1,
         since: now,
@@ -328,7 +328,7 @@
             member: 1,
             began,
             position: Some(Position::new(1, 10)),
-            led: false,
+            proves_primary: false,
         });
     }
     bench.write(1);
@@ -338,7 +338,7 @@
 #[gtest]
 fn a_box_that_others_do_not_know_uses_no_lease() {
     let mut bench = Bench::new(0);
-    bench.tell(Event::Listed { listed: false });
+    bench.tell(Event::BoxListed { listed: false });
     bench.write(1);
     expect_that!(bench.outcome(1), none());
 }
@@ -368,7 +368,7 @@
     bench.grant(1, 10);
     bench.grant(2, 12);
     let term = bench.term();
-    bench.tell(Event::Revoked { term });
+    bench.tell(Event::LeasesRevoked { term });
     expect_that!(
         bench.actions,
         contains(eq(&Action::Promote { member: 2, term }))
@@ -415,7 +415,7 @@
 #[gtest]
 fn a_revoked_lease_counts_nothing_that_was_seen_before() {
     let mut bench = Bench::new(0);
-    bench.tell(Event::Revoke);
+    bench.tell(Event::RevokeLease);
     bench.write(1);
     expect_that!(bench.outcome(1), none());
 }
@@ -427,7 +427,7 @@
         let mut bench = Bench::new(rank);
         bench.ballot();
         bench.pass(ms(1_200));
-        bench.tell(Event::Claimed { won: true });
+        bench.tell(Event::DutyClaimed { won: true });
         terms.push(bench.term());
     }
     terms.dedup();
@@ -437,8 +437,8 @@
 #[gtest]
 fn a_box_that_lost_the_duty_gives_the_other_its_time() {
     let mut bench = Bench::new(0);
-    bench.tell(Event::Broken { member: 0 });
-    bench.tell(Event::Opinion {
+    bench.tell(Event::ConnectionLost { member: 0 });
+    bench.tell(Event::OpinionReceived {
         from: "b1".into(),
         near: false,
         suspects: true,
@@ -447,7 +447,7 @@
     bench.report(2, status(Role::Replica, 1, 1, 10));
     bench.pass(ms(20));
     expect_that!(bench.asked(|a| *a == Action::Claim), eq(1));
-    bench.tell(Event::Claimed { won: false });
+    bench.tell(Event::DutyClaimed { won: false });
     bench.pass(ms(1_000));
     expect_that!(bench.asked(|a| *a == Action::Claim), eq(1));
     expect_that!(bench.asked(|a| matches!(a, Action::Fence { .. })), eq(0));
@@ -456,9 +456,9 @@
 #[gtest]
 fn a_primary_that_most_boxes_reach_is_not_replaced_and_they_are_named() {
     let mut bench = Bench::new(0);
-    bench.tell(Event::Broken { member: 0 });
+    bench.tell(Event::ConnectionLost { member: 0 });
     for (name, suspects) in [("b1", false), ("b2", false), ("b3", true)] {
-        bench.tell(Event::Opinion {
+        bench.tell(Event::OpinionReceived {
             from: name.into(),
             near: false,
             suspects,
@@ -577,11 +577,11 @@
     let mut bench = Bench::new(0);
     bench.report(1, status(Role::Primary, 2, 2, 10));
     bench.report(0, status(Role::Primary, 1, 1, 14));
-    bench.tell(Event::Broken { member: 1 });
+    bench.tell(Event::ConnectionLost { member: 1 });
     // The new primary gets its time first.
     bench.pass(ms(1_200));
     for name in ["b1", "b2"] {
-        bench.tell(Event::Opinion {
+        bench.tell(Event::OpinionReceived {
             from: name.into(),
             near: false,
             suspects: true,
@@ -590,11 +590,11 @@
     bench.report(0, status(Role::Replica, 1, 1, 14));
     bench.report(2, status(Role::Replica, 1, 1, 10));
     bench.pass(ms(20));
-    bench.tell(Event::Claimed { won: true });
+    bench.tell(Event::DutyClaimed { won: true });
     let term = bench.term();
     bench.grant(0, 14);
     bench.grant(2, 10);
-    bench.tell(Event::Revoked { term });
+    bench.tell(Event::LeasesRevoked { term });
     expect_that!(
         bench.actions,
         contains(eq(&Action::Promote { member: 2, term }))
@@ -622,13 +622,13 @@
     let now = bench.now;
     bench.group.set_plan(plan(members), now);
     bench.pass(ms(200));
-    bench.tell(Event::Claimed { won: true });
+    bench.tell(Event::DutyClaimed { won: true });
     bench.pass(ms(60));
     bench.grant(0, 12);
     bench.grant(1, 12);
     bench.grant(2, 11);
     let term = bench.term();
-    bench.tell(Event::Revoked { term });
+    bench.tell(Event::LeasesRevoked { term });
     expect_that!(
         bench.actions,
         contains(eq(&Action::Promote { member: 2, term }))
@@ -662,10 +662,10 @@
     let running = |bench: &Bench| bench.asked(|a| matches!(a, Action::Assign { .. }));
     let before = running(&bench);
     for id in 10 + before as u64..20 {
-        bench.tell(Event::Withdraw { id });
+        bench.tell(Event::Withdrawn { id });
     }
     let took = ms(10);
-    bench.tell(Event::Release { member: 0, took });
+    bench.tell(Event::SlotReleased { member: 0, took });
     expect_that!(running(&bench), eq(before));
 }
 
@@ -675,7 +675,7 @@
 fn a_primary_without_a_majority_serves_reads_until_they_would_be_too_old() {
     let mut bench = Bench::new(0);
     for member in [1, 2] {
-        bench.tell(Event::Broken { member });
+        bench.tell(Event::ConnectionLost { member });
     }
     bench.pass(ms(900));
     bench.report(0, status(Role::Primary, 1, 1, 11));
@@ -706,9 +706,9 @@
 fn a_member_that_takes_no_more_connections_gets_less_and_slowly_more() {
     let mut bench = Bench::new(0);
     bench.arrive(1);
-    bench.tell(Event::Full { member: 0 });
+    bench.tell(Event::ConnectionLimitReached { member: 0 });
     let took = ms(10);
-    bench.tell(Event::Release { member: 0, took });
+    bench.tell(Event::SlotReleased { member: 0, took });
     bench.arrive(2);
     let assigned = |bench: &Bench, id: u64| {
         bench.asked(|a| matches!(a, Action::Assign { id: found, .. } if *found == id))
@@ -732,7 +732,7 @@
         bench.now += ms(100);
         let began = bench.now;
         for member in 0..3 {
-            bench.tell(Event::Status {
+            bench.tell(Event::Probed {
                 member,
                 began,
                 answer: Err(MemberError::Busy),
@@ -794,7 +794,7 @@
         now += ms(50);
         let answer = Ok(status(Role::Replica, 1, 1, 10));
         group.handle(
-            Event::Status {
+            Event::Probed {
                 member: 0,
                 began: now - ms(1),
                 answer,
@@ -802,7 +802,7 @@
             now,
         );
         for member in 1..3 {
-            group.handle(Event::Unreached { member }, now);
+            group.handle(Event::ConnectTimedOut { member }, now);
         }
     }
     expect_that!(group.reaches(now), some(eq(false)));
@@ -840,7 +840,7 @@
     expect_that!(bench.asked(|a| *a == Action::Claim), eq(1));
     // It led to nothing.
     rest(&mut bench, ms(1_000));
-    bench.tell(Event::Claimed { won: true });
+    bench.tell(Event::DutyClaimed { won: true });
     expect_that!(bench.asked(|a| *a == Action::Claim), eq(2));
     expect_that!(
         bench.asked(|a| matches!(a, Action::Fence { .. })),
@@ -859,7 +859,7 @@
     bench.grant(1, 12);
     bench.grant(2, 10);
     let term = bench.term();
-    bench.tell(Event::Revoked { term });
+    bench.tell(Event::LeasesRevoked { term });
     expect_that!(bench.asked(promotes), eq(1));
     bench.report(1, status(Role::Primary, 2, 2, 12));
     let follows = |bench: &Bench, i: usize| {
--- a/tests/unit/leaving.rs
+++ b/tests/unit/leaving.rs
@@ -154,7 +154,7 @@
     let queued = queued.expect("a member has no room for all");
     look_for(&mut bench, ms(200));
     let took = ms(200);
-    bench.tell(Event::Release { member: 0, took });
+    bench.tell(Event::SlotReleased { member: 0, took });
     expect_that!(assigned(&bench, queued), eq(false));
     expect_that!(refused(&bench, queued), eq(true));
 }
@@ -358,7 +358,7 @@
     bench.grant(1, 12);
     bench.grant(2, 11);
     let term = bench.term();
-    bench.tell(Event::Revoked { term });
+    bench.tell(Event::LeasesRevoked { term });
     let promote = Action::Promote { member: 1, term };
     expect_that!(bench.actions, contains(eq(&promote)));
     bench.pass(ms(400));
@@ -395,7 +395,7 @@
         for place in [0, 2] {
             let sent = |a: &Action| matches!(a, Action::Assign { id: sent, member, .. } if *sent == id && *member == place);
             if bench.asked(sent) > 0 {
-                bench.tell(Event::Release {
+                bench.tell(Event::SlotReleased {
                     member: place,
                     took,
                 });
@@ -417,7 +417,7 @@
     let members = (0..3).map(|i| member(i, i == 0)).collect();
     bench.group.set_plan(plan(members), bench.now);
     bench.pass(ms(200));
-    bench.tell(Event::Claimed { won: true });
+    bench.tell(Event::DutyClaimed { won: true });
     let fenced = |bench: &Bench, place: usize| {
         bench.asked(|a| matches!(a, Action::Fence { member, .. } if *member == place))
     };
--- a/tests/unit/orders.rs
+++ b/tests/unit/orders.rs
@@ -163,7 +163,7 @@
             orders: Vec::new(),
         };
         for by in 0..BOXES {
-            world.at(ms(1), Step::Tell(by, Event::Listed { listed: true }));
+            world.at(ms(1), Step::Tell(by, Event::BoxListed { listed: true }));
         }
         for crash in 0..3 {
             let at = ms(world.dice.random_range(1_000..3_000) + crash * 5_500);
@@ -243,7 +243,7 @@
             }
             Action::Ask => {
                 let term = self.boxes[by].term();
-                let event = Event::Opinion {
+                let event = Event::OpinionReceived {
                     from: "other".into(),
                     near: false,
                     suspects: self.boxes[1 - by].suspects(term),
@@ -295,12 +295,12 @@
     fn claimed(&mut self, by: usize, mut claim: Claim) {
         if !claim.alone {
             let Some(revision) = self.commit(&claim) else {
-                return self.tell(by, Event::Claimed { won: false });
+                return self.tell(by, Event::DutyClaimed { won: false });
             };
             claim.duty.revision = revision;
         }
         self.claims[by] = Some(claim);
-        self.tell(by, Event::Claimed { won: true });
+        self.tell(by, Event::DutyClaimed { won: true });
     }
 
     fn take(&mut self, step: Step) {
@@ -331,9 +331,9 @@
             }
             Step::Lead { by, member, term } => self.lead(by, member, term),
             Step::Revoke { of, by, term } => {
-                self.tell(of, Event::Revoke);
+                self.tell(of, Event::RevokeLease);
                 if !self.boxes[of].is_deposing() {
-                    self.soon(Step::Tell(by, Event::Revoked { term }));
+                    self.soon(Step::Tell(by, Event::LeasesRevoked { term }));
                 }
             }
             Step::Hear { by, duty } => self.known[by] = Some(duty),
@@ -364,7 +364,7 @@
             true => (SILENCE, Err(MemberError::Silent)),
             false => (self.way(), Ok(known.status())),
         };
-        let event = Event::Status {
+        let event = Event::Probed {
             member,
             began,
             answer,
--- a/tests/unit/restarted.rs
+++ b/tests/unit/restarted.rs
@@ -66,7 +66,7 @@
     bench.grant(2, 10);
     let term = bench.term();
     list(&mut bench, [1, 1, 2]);
-    bench.tell(Event::Revoked { term });
+    bench.tell(Event::LeasesRevoked { term });
     expect_that!(promotes(&bench), eq(0));
 }
 
@@ -175,9 +175,9 @@
     let former = place(&bench, 0);
     // A new primary gets its time.
     bench.pass(ms(1_100));
-    bench.tell(Event::Broken { member: 1 });
+    bench.tell(Event::ConnectionLost { member: 1 });
     for name in ["b1", "b2"] {
-        bench.tell(Event::Opinion {
+        bench.tell(Event::OpinionReceived {
             from: name.into(),
             near: false,
             suspects: true,
@@ -186,7 +186,7 @@
     bench.report(former, status(Role::Replica, 1, 2, 40));
     bench.report(2, status(Role::Replica, 2, 2, 11));
     bench.pass(ms(20));
-    bench.tell(Event::Claimed { won: true });
+    bench.tell(Event::DutyClaimed { won: true });
     let term = bench.term();
     for (member, log_term, index) in [(former, 1, 40), (2, 2, 11)] {
         bench.tell(Event::Fenced {
@@ -195,7 +195,7 @@
             answer: Ok(status(Role::Replica, log_term, term, index)),
         });
     }
-    bench.tell(Event::Revoked { term });
+    bench.tell(Event::LeasesRevoked { term });
     let promoted = bench.actions.iter().find_map(|action| match action {
         Action::Promote { member, .. } => Some(*member),
         _ => None,
