--- a/src/decisions/group/membership.rs
+++ b/src/decisions/group/membership.rs
@@ -111,7 +111,7 @@
             fresh = true;
             if Some(i) == primary && served {
                 let age = departs.age(now);
-                out.push(Action::Note(Note::LeaveOver { member: i, age }));
+                out.push(Action::Log(Note::DrainExpired { member: i, age }));
             }
         }
         if fresh {
--- a/src/decisions/group/message.rs
+++ b/src/decisions/group/message.rs
@@ -261,10 +261,10 @@
         member: usize,
     },
     /// Take the duty of promoting.
-    Claim,
+    ClaimDuty,
     /// Have the other boxes give up their leases; the ballot's term comes back with
     /// [`Event::Revoked`] when all have.
-    Revoke {
+    RevokeLeases {
         term: u64,
     },
     Fence {
@@ -272,7 +272,7 @@
         term: u64,
     },
     /// Take back a fence that leads to nothing.
-    Release {
+    ReleaseFence {
         member: usize,
     },
     Promote {
@@ -284,14 +284,14 @@
         term: u64,
         primary: usize,
     },
-    Ask,
+    AskOpinions,
     /// Record the primary in the table and tell the peers.
-    Record {
+    RecordPrimary {
         term: u64,
         primary: usize,
     },
     /// Something an operator may want to know.
-    Note(Note),
+    Log(Note),
 }
 
 /// What is worth a log line.
@@ -300,41 +300,41 @@
     Suspected {
         member: usize,
     },
-    Trusted {
+    SuspicionCleared {
         member: usize,
     },
-    Fencing {
+    BallotStarted {
         term: u64,
     },
-    Lost {
+    BallotLost {
         term: u64,
     },
-    Won {
+    PrimaryPromoted {
         term: u64,
         member: usize,
     },
-    Adopted {
+    PrimaryAdopted {
         term: u64,
         member: usize,
     },
     /// A member's fence is taken back.
-    Released {
+    FenceReleased {
         member: usize,
     },
     /// A leaving primary's time is counted. Its word has this age, where that is known.
-    LeaveCounted {
+    DrainStarted {
         member: usize,
         age: Option<Duration>,
         /// Members that could take over.
         successors: usize,
     },
     /// A leaving primary has had all its time.
-    LeaveOver {
+    DrainExpired {
         member: usize,
         age: Option<Duration>,
     },
     /// A member's report can't be true and was not taken.
-    Nonsense {
+    ImplausibleReport {
         member: usize,
     },
     /// A member started again: nothing that was known of it holds.
--- a/src/decisions/group/observing.rs
+++ b/src/decisions/group/observing.rs
@@ -20,7 +20,7 @@
         }
         match answer {
             Ok(status) if self.sane(&status) => self.observe(member, status, began, now, out),
-            Ok(_) => out.push(Action::Note(Note::Nonsense { member })),
+            Ok(_) => out.push(Action::Log(Note::ImplausibleReport { member })),
             Err(MemberError::Broken) => self.broken(member, now, out),
             Err(MemberError::Busy) => self.members[member].detector.heard(began, now),
             Err(_) => {}
@@ -241,7 +241,7 @@
         known.broken = known.broken.or(Some(now));
         if !known.suspected {
             known.suspected = true;
-            out.push(Action::Note(Note::Suspected { member }));
+            out.push(Action::Log(Note::Suspected { member }));
         }
         known.wanted = true;
     }
@@ -263,7 +263,7 @@
             // The look was faster than the answer to the order.
             return self.won(member, term, now, out);
         }
-        out.push(Action::Note(Note::Adopted { term, member }));
+        out.push(Action::Log(Note::PrimaryAdopted { term, member }));
         self.enter_term(now, out);
     }
 
--- a/src/decisions/group/passing.rs
+++ b/src/decisions/group/passing.rs
@@ -46,7 +46,7 @@
             return false;
         };
         if counted != leader {
-            out.push(Action::Note(Note::LeaveCounted {
+            out.push(Action::Log(Note::DrainStarted {
                 member: primary,
                 age: departs.age(now),
                 successors,
@@ -87,9 +87,9 @@
             }
             member.suspected = suspected;
             fresh |= suspected;
-            out.push(Action::Note(match suspected {
+            out.push(Action::Log(match suspected {
                 true => Note::Suspected { member: i },
-                false => Note::Trusted { member: i },
+                false => Note::SuspicionCleared { member: i },
             }));
         }
         if fresh {
@@ -105,38 +105,38 @@
         let mut noted = false;
         for step in steps {
             match step {
-                Step::Ask => out.push(Action::Ask),
+                Step::Ask => out.push(Action::AskOpinions),
                 Step::Look => self.want_all(),
-                Step::Claim => out.push(Action::Claim),
+                Step::Claim => out.push(Action::ClaimDuty),
                 Step::Revoke { term } => {
                     self.revoke(now);
-                    out.push(Action::Revoke { term });
+                    out.push(Action::RevokeLeases { term });
                 }
                 Step::Fence { member, term } => {
                     if !noted {
-                        out.push(Action::Note(Note::Fencing { term }));
+                        out.push(Action::Log(Note::BallotStarted { term }));
                         noted = true;
                     }
                     out.push(Action::Fence { member, term });
                 }
                 Step::Release { member } => {
-                    out.push(Action::Note(Note::Released { member }));
-                    out.push(Action::Release { member });
+                    out.push(Action::Log(Note::FenceReleased { member }));
+                    out.push(Action::ReleaseFence { member });
                 }
                 Step::Promote { member, term } => out.push(Action::Promote { member, term }),
-                Step::Lost { term } => out.push(Action::Note(Note::Lost { term })),
+                Step::Lost { term } => out.push(Action::Log(Note::BallotLost { term })),
                 Step::Won { member, term } => self.won(member, term, now, out),
             }
         }
     }
 
     pub(super) fn won(&mut self, winner: usize, term: u64, now: Duration, out: &mut Vec<Action>) {
-        out.push(Action::Note(Note::Won {
+        out.push(Action::Log(Note::PrimaryPromoted {
             term,
             member: winner,
         }));
         let primary = winner;
-        out.push(Action::Record { term, primary });
+        out.push(Action::RecordPrimary { term, primary });
         for member in self.present().filter(|member| *member != winner) {
             out.push(Action::Follow {
                 member,
--- a/src/decisions/group/restarting.rs
+++ b/src/decisions/group/restarting.rs
@@ -45,7 +45,7 @@
             return;
         }
         for (earlier, member) in std::mem::take(&mut self.restarted) {
-            out.push(Action::Note(Note::Restarted { member }));
+            out.push(Action::Log(Note::Restarted { member }));
             self.confirm.forget(earlier);
             // What a majority was seen to hold may be held by fewer now.
             self.held = Position::ZERO;
--- a/src/node/driver/acting.rs
+++ b/src/node/driver/acting.rs
@@ -51,12 +51,12 @@
                 }
             }
             Action::Probe { member } => self.probe(id, owned, member),
-            Action::Revoke { term } => self.revoke(id, owned, term),
+            Action::RevokeLeases { term } => self.revoke(id, owned, term),
             // Its process may end before the ballot, and leave fences behind.
-            Action::Claim if *self.context.leaving.borrow() => {
+            Action::ClaimDuty if *self.context.leaving.borrow() => {
                 return Some(Event::DutyClaimed { won: false });
             }
-            Action::Claim => {
+            Action::ClaimDuty => {
                 let context = self.context.clone();
                 let group = id.clone();
                 let incarnation = owned.incarnation;
@@ -95,7 +95,7 @@
                     }
                 });
             }
-            Action::Release { member } => {
+            Action::ReleaseFence { member } => {
                 let border = owned.members[member].clone();
                 self.spawn(id, async move {
                     // Whether it worked shows in the next report.
@@ -133,8 +133,8 @@
                     Event::ProbeAll
                 });
             }
-            Action::Ask => self.ask_peers(id, owned),
-            Action::Record { term, primary } => {
+            Action::AskOpinions => self.ask_peers(id, owned),
+            Action::RecordPrimary { term, primary } => {
                 let name = owned.group.plan.members[primary].name.clone();
                 self.context.metrics.replacements.add(1, &[]);
                 if self.context.settings.duty {
@@ -144,7 +144,7 @@
                 let record = peers::record(self.context.clone(), id.clone(), term, name);
                 tokio::task::spawn_local(record);
             }
-            Action::Note(note) => self.note(id, &owned.group, &note),
+            Action::Log(note) => self.note(id, &owned.group, &note),
         }
         None
     }
@@ -241,17 +241,17 @@
                 &events::SUSPECTED,
                 &[("group", id), ("member", &name(*member))],
             ),
-            Note::Trusted { member } => events::emit(
+            Note::SuspicionCleared { member } => events::emit(
                 log,
                 &events::TRUSTED,
                 &[("group", id), ("member", &name(*member))],
             ),
-            Note::Released { member } => events::emit(
+            Note::FenceReleased { member } => events::emit(
                 log,
                 &events::RELEASED,
                 &[("group", id), ("member", &name(*member))],
             ),
-            Note::Nonsense { member } => events::emit(
+            Note::ImplausibleReport { member } => events::emit(
                 log,
                 &events::NONSENSE,
                 &[("group", id), ("member", &name(*member))],
@@ -261,7 +261,7 @@
                 &events::RESTARTED,
                 &[("group", id), ("member", &name(*member))],
             ),
-            Note::LeaveCounted {
+            Note::DrainStarted {
                 member,
                 age,
                 successors,
@@ -275,7 +275,7 @@
                     ("successors", successors),
                 ],
             ),
-            Note::LeaveOver { member, age } => events::emit(
+            Note::DrainExpired { member, age } => events::emit(
                 log,
                 &events::LEAVE_OVER,
                 &[
@@ -284,18 +284,18 @@
                     ("ago_ms", &in_ms(*age)),
                 ],
             ),
-            Note::Fencing { term } => {
+            Note::BallotStarted { term } => {
                 events::emit(log, &events::FENCING, &[("group", id), ("term", term)]);
             }
-            Note::Lost { term } => {
+            Note::BallotLost { term } => {
                 events::emit(log, &events::BALLOT_LOST, &[("group", id), ("term", term)]);
             }
-            Note::Won { term, member } => events::emit(
+            Note::PrimaryPromoted { term, member } => events::emit(
                 log,
                 &events::PROMOTED,
                 &[("group", id), ("term", term), ("member", &name(*member))],
             ),
-            Note::Adopted { term, member } => events::emit(
+            Note::PrimaryAdopted { term, member } => events::emit(
                 log,
                 &events::ADOPTED,
                 &[("group", id), ("term", term), ("member", &name(*member))],
--- a/tests/unit/departing.rs
+++ b/tests/unit/departing.rs
@@ -333,15 +333,15 @@
         match action {
             Action::Assign { member, .. } => self.send(by, member),
             Action::Probe { member } => self.probe(by, member),
-            Action::Claim => self.claim(by),
-            Action::Revoke { term } => {
+            Action::ClaimDuty => self.claim(by),
+            Action::RevokeLeases { term } => {
                 for of in (0..BOXES).filter(|of| *of != by) {
                     self.at(STEP, Due::Tell(of, Event::RevokeLease));
                 }
                 self.at(STEP * 2, Due::Tell(by, Event::LeasesRevoked { term }));
             }
             Action::Fence { member, term } => self.fence(by, member, term),
-            Action::Release { member } => {
+            Action::ReleaseFence { member } => {
                 let place = self.place(by, member);
                 self.members[place].held = 0;
             }
@@ -349,7 +349,7 @@
                 let place = self.place(by, member);
                 self.at(PROMOTION, Due::Lead(by, place, term));
             }
-            Action::Ask => self.ask(by),
+            Action::AskOpinions => self.ask(by),
             _ => {}
         }
     }
--- a/tests/unit/fake.rs
+++ b/tests/unit/fake.rs
@@ -560,10 +560,10 @@
                 self.call(owner, member, Call::Follow(term, primary));
             }
             // Its members keep their fences.
-            Action::Release { .. } | Action::Claim | Action::Revoke { .. } => {}
-            Action::Ask => self.ask(owner),
-            Action::Record { .. } => self.counts.replacements += 1,
-            Action::Note(_) => {}
+            Action::ReleaseFence { .. } | Action::ClaimDuty | Action::RevokeLeases { .. } => {}
+            Action::AskOpinions => self.ask(owner),
+            Action::RecordPrimary { .. } => self.counts.replacements += 1,
+            Action::Log(_) => {}
         }
     }
 
--- a/tests/unit/group.rs
+++ b/tests/unit/group.rs
@@ -43,7 +43,7 @@
         let actions = group.handle(told(nonsense), ms(2));
         expect_that!(
             actions,
-            contains(eq(&Action::Note(Note::Nonsense { member: 0 })))
+            contains(eq(&Action::Log(Note::ImplausibleReport { member: 0 })))
         );
         expect_that!(group.term(), eq(0));
     }
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -349,7 +349,10 @@
     bench.ballot();
     bench.grant(1, 12);
     bench.grant(2, 10);
-    expect_that!(bench.asked(|a| matches!(a, Action::Revoke { .. })), eq(1));
+    expect_that!(
+        bench.asked(|a| matches!(a, Action::RevokeLeases { .. })),
+        eq(1)
+    );
     expect_that!(bench.asked(promotes), eq(0));
     let lease = settings().replace.lease;
     bench.pass(lease - ms(20));
@@ -389,7 +392,7 @@
     bench.pass(ms(2_000));
     expect_that!(bench.asked(promotes), eq(0));
     expect_that!(
-        bench.asked(|a| matches!(a, Action::Note(Note::Lost { .. }))),
+        bench.asked(|a| matches!(a, Action::Log(Note::BallotLost { .. }))),
         eq(1)
     );
 }
@@ -446,10 +449,10 @@
     bench.report(1, status(Role::Replica, 1, 1, 10));
     bench.report(2, status(Role::Replica, 1, 1, 10));
     bench.pass(ms(20));
-    expect_that!(bench.asked(|a| *a == Action::Claim), eq(1));
+    expect_that!(bench.asked(|a| *a == Action::ClaimDuty), eq(1));
     bench.tell(Event::DutyClaimed { won: false });
     bench.pass(ms(1_000));
-    expect_that!(bench.asked(|a| *a == Action::Claim), eq(1));
+    expect_that!(bench.asked(|a| *a == Action::ClaimDuty), eq(1));
     expect_that!(bench.asked(|a| matches!(a, Action::Fence { .. })), eq(0));
 }
 
@@ -475,7 +478,7 @@
     expect_that!(refusal.reason, eq(Reason::CutOff));
     expect_that!(refusal.via, eq(&Via::Named("b1".into())));
     bench.pass(ms(500));
-    expect_that!(bench.asked(|a| *a == Action::Claim), eq(0));
+    expect_that!(bench.asked(|a| *a == Action::ClaimDuty), eq(0));
 }
 
 /// A ballot that only the first replica grants.
@@ -506,7 +509,10 @@
         bench.report(1, status(Role::Replica, 1, fence, 10));
         bench.report(2, status(Role::Replica, 1, 1, 10));
     }
-    expect_that!(bench.actions, contains(eq(&Action::Release { member: 1 })));
+    expect_that!(
+        bench.actions,
+        contains(eq(&Action::ReleaseFence { member: 1 }))
+    );
 }
 
 /// The member that can't be seen may have been promoted on the strength of a fence that
@@ -522,11 +528,14 @@
         bench.report(0, status(Role::Primary, 1, 1, 10));
         bench.report(1, status(Role::Replica, 1, fence, 10));
     }
-    expect_that!(bench.asked(|a| matches!(a, Action::Release { .. })), eq(0));
+    expect_that!(
+        bench.asked(|a| matches!(a, Action::ReleaseFence { .. })),
+        eq(0)
+    );
     bench.write(1);
     expect_that!(bench.outcome(1), none());
     // Another ballot is the way on.
-    expect_that!(bench.asked(|a| *a == Action::Claim), gt(1));
+    expect_that!(bench.asked(|a| *a == Action::ClaimDuty), gt(1));
 }
 
 /// The entry of a member behind a cut lapses while it leads there.
@@ -543,7 +552,10 @@
         bench.report(0, status(Role::Primary, 1, 1, 10));
         bench.report(1, status(Role::Replica, 1, fence, 10));
     }
-    expect_that!(bench.asked(|a| matches!(a, Action::Release { .. })), eq(0));
+    expect_that!(
+        bench.asked(|a| matches!(a, Action::ReleaseFence { .. })),
+        eq(0)
+    );
 }
 
 #[gtest]
@@ -555,7 +567,10 @@
         bench.report(1, status(Role::Replica, 1, 9, 10));
         bench.report(2, status(Role::Replica, 1, 1, 10));
     }
-    expect_that!(bench.actions, contains(eq(&Action::Release { member: 1 })));
+    expect_that!(
+        bench.actions,
+        contains(eq(&Action::ReleaseFence { member: 1 }))
+    );
     expect_that!(bench.asked(|a| matches!(a, Action::Fence { .. })), eq(0));
 }
 
@@ -764,14 +779,14 @@
     };
     // It may only have lapsed while the table was away.
     look_until(&mut bench, ms(2_800));
-    expect_that!(bench.asked(|a| *a == Action::Claim), eq(0));
+    expect_that!(bench.asked(|a| *a == Action::ClaimDuty), eq(0));
     bench.arrive(1);
     expect_that!(
         bench.asked(|a| matches!(a, Action::Assign { id: 1, .. })),
         eq(1)
     );
     look_until(&mut bench, ms(3_300));
-    expect_that!(bench.asked(|a| *a == Action::Claim), gt(0));
+    expect_that!(bench.asked(|a| *a == Action::ClaimDuty), gt(0));
     // Nobody takes over: members serve on for 7 s without a word, and no longer.
     look_until(&mut bench, ms(5_000));
     bench.arrive(2);
@@ -837,11 +852,11 @@
         }
     };
     rest(&mut bench, ms(1_500));
-    expect_that!(bench.asked(|a| *a == Action::Claim), eq(1));
+    expect_that!(bench.asked(|a| *a == Action::ClaimDuty), eq(1));
     // It led to nothing.
     rest(&mut bench, ms(1_000));
     bench.tell(Event::DutyClaimed { won: true });
-    expect_that!(bench.asked(|a| *a == Action::Claim), eq(2));
+    expect_that!(bench.asked(|a| *a == Action::ClaimDuty), eq(2));
     expect_that!(
         bench.asked(|a| matches!(a, Action::Fence { .. })),
         gt(fences)
@@ -868,7 +883,7 @@
     expect_that!(follows(&bench, 0), eq(1));
     expect_that!(follows(&bench, 2), eq(1));
     expect_that!(
-        bench.asked(|a| matches!(a, Action::Note(Note::Won { .. }))),
+        bench.asked(|a| matches!(a, Action::Log(Note::PrimaryPromoted { .. }))),
         eq(1)
     );
     // The order's own answer changes nothing more.
--- a/tests/unit/leaving.rs
+++ b/tests/unit/leaving.rs
@@ -166,7 +166,7 @@
     let mut bench = last_one_leaves();
     let word = bench.now;
     let mut ticks = 0;
-    let over = |a: &Action| matches!(a, Action::Note(Note::LeaveOver { .. }));
+    let over = |a: &Action| matches!(a, Action::Log(Note::DrainExpired { .. }));
     while bench.asked(over) == 0 && bench.now < word + MOST {
         bench.now = bench.group.wake().max(bench.now + ms(1));
         bench.tell(Event::Tick);
--- a/tests/unit/orders.rs
+++ b/tests/unit/orders.rs
@@ -219,9 +219,9 @@
                 let bid = self.boxes[by].bid(term);
                 self.soon(Step::Fence { by, member, bid });
             }
-            Action::Release { member } => self.soon(Step::Resume { member }),
+            Action::ReleaseFence { member } => self.soon(Step::Resume { member }),
             Action::Follow { member, term, .. } => self.soon(Step::Follow { member, term }),
-            Action::Claim => self.claim(by),
+            Action::ClaimDuty => self.claim(by),
             Action::Promote { member, term } => {
                 let claim = self.claims[by].clone().expect("the duty was taken");
                 let number = claim.number(&self.boxes[by].ballot());
@@ -233,7 +233,7 @@
                     claim,
                 });
             }
-            Action::Revoke { term } => {
+            Action::RevokeLeases { term } => {
                 let alone = self.claims[by].as_ref().is_some_and(|claim| claim.alone);
                 let of = 1 - by;
                 match alone {
@@ -241,7 +241,7 @@
                     false => self.soon(Step::Revoke { of, by, term }),
                 }
             }
-            Action::Ask => {
+            Action::AskOpinions => {
                 let term = self.boxes[by].term();
                 let event = Event::OpinionReceived {
                     from: "other".into(),
--- a/tests/unit/restarted.rs
+++ b/tests/unit/restarted.rs
@@ -133,7 +133,7 @@
         bench.report(2, status(Role::Replica, 1, 1, 10));
         bench.arrive(2);
         expect_that!(!runs_on(&bench, 2).is_empty(), eq(leads));
-        let doubts = bench.asked(|action| matches!(action, Action::Claim));
+        let doubts = bench.asked(|action| matches!(action, Action::ClaimDuty));
         expect_that!(doubts > 0, eq(!leads));
     }
 }
@@ -156,7 +156,7 @@
     list(&mut bench, [1, 2, 1]);
     let replica = place(&bench, 1);
     bench.report(replica, status(Role::Replica, 0, 0, 0));
-    let nonsense = |action: &Action| matches!(action, Action::Note(Note::Nonsense { .. }));
+    let nonsense = |action: &Action| matches!(action, Action::Log(Note::ImplausibleReport { .. }));
     expect_that!(bench.asked(nonsense), eq(0));
     // It is told to follow the primary.
     let follows =
