--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -118,8 +118,8 @@
             probes: 0,
             probed: None,
             wanted: false,
-            fair: Fair::new(capacity, settings.service),
-            latency: Latency::new(settings.service),
+            fair: Fair::new(capacity, settings.service_time),
+            latency: Latency::new(settings.service_time),
             demoted: false,
             kept: None,
             clear: None,
@@ -152,7 +152,7 @@
     /// Time that it gets as one that leaves: the shorter of what was set when that was heard
     /// of and what is set now, since other boxes may go by either.
     fn serves_for(&self, settings: &Settings) -> Duration {
-        let set = settings.leave_most;
+        let set = settings.drain_limit;
         self.serve_most.map_or(set, |most| most.min(set))
     }
 
@@ -276,17 +276,17 @@
     }
 
     /// Time after which a read at a member is better repeated elsewhere.
-    pub fn patience(&self, member: usize, now: Duration) -> Duration {
+    pub fn read_timeout(&self, member: usize, now: Duration) -> Duration {
         self.members[member].latency.mean(now) * PATIENCE
     }
 
     /// Connections to each member that stay open without use.
-    pub fn kept_open(&self) -> usize {
-        (self.share() * self.settings.keep as usize / 100).max(1)
+    pub fn idle_connections(&self) -> usize {
+        (self.connection_share() * self.settings.idle_connections_percent as usize / 100).max(1)
     }
 
     /// This owner's share of the connections to each member.
-    pub fn share(&self) -> usize {
+    pub fn connection_share(&self) -> usize {
         share(self.plan.group.connections, self.owners)
     }
 
@@ -315,12 +315,12 @@
         let settings = self.settings;
         let own = match self.replace.rank() {
             0 => 1,
-            _ => settings.relaxed,
+            _ => settings.secondary_period_factor,
         };
         let primary = self.replace.primary;
         for (i, member) in self.members.iter_mut().enumerate() {
             let role = match primary {
-                Some(primary) if primary != i => settings.relaxed,
+                Some(primary) if primary != i => settings.secondary_period_factor,
                 _ => 1,
             };
             let factor = own * role * self.crowd;
@@ -348,7 +348,7 @@
     }
 
     /// Whether this owner reaches a majority; none while it has not found out.
-    pub fn reaches(&self, now: Duration) -> Option<bool> {
+    pub fn reaches_majority(&self, now: Duration) -> Option<bool> {
         if self.sees_majority() {
             return Some(true);
         }
@@ -358,7 +358,7 @@
     }
 
     /// Whether this owner finds the primary suspect, for a peer who asks.
-    pub fn suspects(&self, term: u64) -> bool {
+    pub fn suspects_primary(&self, term: u64) -> bool {
         match self.replace.primary {
             Some(primary) if self.replace.term <= term => self.members[primary].suspected,
             Some(_) => false,
@@ -501,7 +501,7 @@
     }
 
     /// When a tick is due at the latest.
-    pub fn wake(&self) -> Duration {
+    pub fn next_tick(&self) -> Duration {
         let never = Duration::MAX;
         let present = self.members.iter().filter(|member| !member.gone);
         let probes = present.map(|member| {
@@ -514,7 +514,7 @@
                 _ => due,
             }
         });
-        let ballot = match self.settings.patient {
+        let ballot = match self.settings.wait_until_deadline {
             true => placing::PATIENT_END,
             false => self.settings.replace.ballot,
         };
--- a/src/decisions/group/membership.rs
+++ b/src/decisions/group/membership.rs
@@ -10,18 +10,18 @@
     /// Statements that this box may have at a member at once: no more than its share
     /// of the connections, and of what keeps the member's slots busy.
     pub(super) fn capacity(&self) -> usize {
-        let Some(turns) = self.settings.turns else {
-            return self.share();
+        let Some(turns) = self.settings.statements_per_slot else {
+            return self.connection_share();
         };
         let group = &self.plan.group;
         let useful = (group.slots * turns).div_ceil(self.owners.max(1)) as usize;
-        self.share().min(useful.max(LEAST_SHARE))
+        self.connection_share().min(useful.max(LEAST_SHARE))
     }
 
     /// Connections that this box may have at a member at once.
     pub(super) fn most_connections(&self) -> usize {
-        match self.settings.rests {
-            true => self.share(),
+        match self.settings.idle_frees_slot {
+            true => self.connection_share(),
             false => self.capacity(),
         }
     }
@@ -122,8 +122,8 @@
 
     /// Takes another bound for members that leave. Those that leave already get no more than
     /// they had.
-    pub fn set_leave_most(&mut self, most: Duration) {
-        self.settings.leave_most = most;
+    pub fn set_drain_limit(&mut self, most: Duration) {
+        self.settings.drain_limit = most;
     }
 
     /// Members that could take over from a leaving primary.
--- a/src/decisions/group/passing.rs
+++ b/src/decisions/group/passing.rs
@@ -64,7 +64,7 @@
         let patience = self.settings.replace.stagger * self.replace.rank();
         let served = self.settings.serve_leaving;
         let idle = served || self.members[primary].fair.running() == 0 && self.confirm.is_empty();
-        let due = departs.due(self.settings.leave_grace) + patience;
+        let due = departs.due(self.settings.drain_grace) + patience;
         let most = self.members[primary].serves_for(&self.settings);
         let forced = departs.due(most) + patience;
         let next = [due, forced].into_iter().find(|moment| now < *moment);
--- a/src/decisions/group/placing.rs
+++ b/src/decisions/group/placing.rs
@@ -96,7 +96,7 @@
             return Some(Refusal::new(Reason::NoSuccessor, wait));
         }
         let remaining = self.replace.remaining(now);
-        let needed = match self.settings.patient {
+        let needed = match self.settings.wait_until_deadline {
             true => PATIENT_END,
             false => remaining,
         };
@@ -113,7 +113,7 @@
     /// Few owners may be cut off where others are not. Where every box is an owner,
     /// asking them in turn would only pass the load on.
     fn cut_off_via(&self) -> Via {
-        match self.settings.patient {
+        match self.settings.wait_until_deadline {
             true => Via::Nobody,
             false => Via::Owner,
         }
@@ -399,7 +399,9 @@
                 return;
             }
             // It grew too old while the request waited.
-            next = self.members[member].fair.release(self.settings.service);
+            next = self.members[member]
+                .fair
+                .release(self.settings.service_time);
             self.place(request, now, out);
         }
     }
--- a/src/decisions/group/settings.rs
+++ b/src/decisions/group/settings.rs
@@ -12,14 +12,14 @@
     pub detect: DetectSettings,
     /// The period grows by this factor for members that are not the primary, and
     /// again for owners that are not the first.
-    pub relaxed: u32,
+    pub secondary_period_factor: u32,
     /// Time a read waits for a replica before it goes to the primary.
     pub replica_wait: Duration,
     /// Time that a leaving primary's statements get, at every owner, before another
     /// is promoted; new writes wait meanwhile.
-    pub leave_grace: Duration,
+    pub drain_grace: Duration,
     /// The same, at most: longer transactions are cut off.
-    pub leave_most: Duration,
+    pub drain_limit: Duration,
     /// Least time between two probes of a member on behalf of waiting requests.
     pub probe_gap: Duration,
     /// Least time between two orders to a member to follow the primary.
@@ -27,7 +27,7 @@
     /// Time that a refused caller is told to wait while no majority is in sight.
     pub cut_off_retry: Duration,
     /// Guess of a statement's time before any was measured.
-    pub service: Duration,
+    pub service_time: Duration,
     /// Part of the lease that is not used: for clocks that differ and the way of an
     /// answer out of the process.
     pub lease_margin: Duration,
@@ -40,14 +40,14 @@
     /// reads go there only when no replica fits.
     pub primary_cost: Option<Duration>,
     /// Requests wait for a primary until their time is up, whatever is expected.
-    pub patient: bool,
+    pub wait_until_deadline: bool,
     /// Connections kept open without use, as a percentage of this box's share.
-    pub keep: u32,
+    pub idle_connections_percent: u32,
     /// Statements at a member at once, from all boxes, for each of its slots; none
     /// where connections alone bound them.
-    pub turns: Option<u32>,
+    pub statements_per_slot: Option<u32>,
     /// A transaction that rests between its statements takes no turn, only a connection.
-    pub rests: bool,
+    pub idle_frees_slot: bool,
     /// Requests that can't be answered within their aim wait behind the others, and refused
     /// callers are told to come back one after the other.
     pub serve_late: bool,
@@ -65,22 +65,22 @@
                 interval: Duration::from_millis(200),
                 tries: 3,
             },
-            relaxed: 4,
+            secondary_period_factor: 4,
             replica_wait: Duration::from_millis(5),
-            leave_grace: Duration::from_millis(1_500),
-            leave_most: Duration::from_secs(5),
+            drain_grace: Duration::from_millis(1_500),
+            drain_limit: Duration::from_secs(5),
             probe_gap: Duration::from_millis(2),
             follow_gap: Duration::from_millis(100),
             cut_off_retry: Duration::from_secs(1),
-            service: Duration::from_millis(2),
+            service_time: Duration::from_millis(2),
             lease_margin: Duration::from_millis(50),
             serve_leaving: false,
             missing_grace: Duration::ZERO,
             primary_cost: None,
-            patient: false,
-            keep: 100,
-            turns: None,
-            rests: false,
+            wait_until_deadline: false,
+            idle_connections_percent: 100,
+            statements_per_slot: None,
+            idle_frees_slot: false,
             serve_late: false,
             domain_loss: false,
         }
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -195,11 +195,11 @@
             Message::Reach { group, reply } => {
                 let now = self.context.now();
                 let owned = self.groups.get(&group);
-                let _ = reply.send(owned.and_then(|owned| owned.group.reaches(now)));
+                let _ = reply.send(owned.and_then(|owned| owned.group.reaches_majority(now)));
             }
             Message::Opinion { group, term, reply } => {
                 let owned = self.groups.get(&group);
-                let _ = reply.send(owned.map(|owned| owned.group.suspects(term)));
+                let _ = reply.send(owned.map(|owned| owned.group.suspects_primary(term)));
                 self.handle(&group, Event::OpinionRequested);
             }
             Message::Dump(reply) => {
@@ -287,7 +287,7 @@
                 return;
             };
             let actions = owned.group.handle(event, now);
-            owned.wake = owned.group.wake();
+            owned.wake = owned.group.next_tick();
             let group = &owned.group;
             owned.health.send_if_modified(|known| {
                 let suspected = known.suspected.iter().copied();
--- a/src/node/driver/acting.rs
+++ b/src/node/driver/acting.rs
@@ -25,13 +25,13 @@
                     term,
                     primary: owned.group.primary() == Some(member),
                     believed,
-                    patience: owned.group.patience(member, self.context.now()),
-                    rests: self.settings.rests,
+                    patience: owned.group.read_timeout(member, self.context.now()),
+                    rests: self.settings.idle_frees_slot,
                     health: owned.health.subscribe(),
                 };
                 let reply = self.grants.remove(&request);
                 let gone = reply.is_none_or(|(_, reply)| reply.send(Ok(grant)).is_err());
-                let took = self.settings.service;
+                let took = self.settings.service_time;
                 return gone.then_some(Event::SlotReleased { member, took });
             }
             Action::Refuse {
--- a/src/node/driver/owning.rs
+++ b/src/node/driver/owning.rs
@@ -69,7 +69,7 @@
         self.settles
             .retain(|_, (incarnation, _)| live.contains(incarnation));
         let addresses = self.groups.values().flat_map(|owned| {
-            let share = owned.group.kept_open();
+            let share = owned.group.idle_connections();
             let members = owned.group.plan.members.iter();
             members.map(move |member| (member.address.sql.clone(), share))
         });
@@ -165,11 +165,11 @@
 
     /// Takes another bound for members that leave.
     pub(super) fn set_leave_most(&mut self, most: Duration) {
-        self.settings.leave_most = most;
+        self.settings.drain_limit = most;
         let groups: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for id in groups {
             if let Some(owned) = self.groups.get_mut(&id) {
-                owned.group.set_leave_most(most);
+                owned.group.set_drain_limit(most);
             }
             // A shorter bound may be over by now.
             self.handle(&id, Event::Tick);
--- a/src/node/driver/reaching.rs
+++ b/src/node/driver/reaching.rs
@@ -29,7 +29,7 @@
             ..View::default()
         };
         for owned in self.groups.values() {
-            match owned.group.reaches(now) {
+            match owned.group.reaches_majority(now) {
                 Some(true) => view.reached += 1,
                 Some(false) => view.cut_off += 1,
                 None => {}
--- a/src/platform/file.rs
+++ b/src/platform/file.rs
@@ -262,7 +262,7 @@
     /// Settings that a running box takes over.
     pub fn live(&self) -> Live {
         Live {
-            leave_most: Some(self.decisions().leave_most),
+            leave_most: Some(self.decisions().drain_limit),
             ..Live::new(&self.run())
         }
     }
@@ -277,7 +277,7 @@
     pub fn decisions(&self) -> Settings {
         let drain = Duration::from_secs_f64(self.bounds.drain_ms.max(0.0) / 1_000.0);
         Settings {
-            rests: self.holds(POOL),
+            idle_frees_slot: self.holds(POOL),
             serve_late: self.holds(POOL),
             domain_loss: self.bears_domain_loss(),
             ..settings::with_drain(drain)
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -16,7 +16,7 @@
 /// The same where leaving members get another time.
 pub fn with_drain(drain: Duration) -> Settings {
     Settings {
-        leave_most: drain.saturating_sub(DRAIN_MARGIN),
+        drain_limit: drain.saturating_sub(DRAIN_MARGIN),
         ..decisions()
     }
 }
@@ -57,16 +57,16 @@
             interval: Duration::from_millis(150),
             tries: 3,
         },
-        relaxed: 4,
-        leave_grace: Duration::from_millis(100),
-        leave_most: DRAIN.saturating_sub(DRAIN_MARGIN),
+        secondary_period_factor: 4,
+        drain_grace: Duration::from_millis(100),
+        drain_limit: DRAIN.saturating_sub(DRAIN_MARGIN),
         probe_gap: Duration::from_millis(20),
         // Each order takes a slot, and a member needs some hundred ms to take over: orders
         // at each look were 50 a second from every box.
         follow_gap: Duration::from_millis(400),
         cut_off_retry: Duration::from_millis(300),
         // Mean work of a statement on the users' sheets: 6 to 40 ms.
-        service: Duration::from_millis(15),
+        service_time: Duration::from_millis(15),
         // The primary answers sooner than a replica catches up (20 to 60 ms).
         replica_wait: Duration::ZERO,
         serve_leaving: true,
@@ -74,9 +74,9 @@
         missing_grace: Duration::from_secs(3),
         // A statement's time: the primary's slots are for writes first.
         primary_cost: Some(Duration::from_millis(25)),
-        patient: true,
-        keep: 50,
-        turns: Some(5),
+        wait_until_deadline: true,
+        idle_connections_percent: 50,
+        statements_per_slot: Some(5),
         ..Settings::default()
     }
 }
--- a/tests/unit/departing.rs
+++ b/tests/unit/departing.rs
@@ -404,7 +404,7 @@
             let event = Event::OpinionReceived {
                 from: format!("b{other}").into(),
                 near: false,
-                suspects: self.boxes[other].suspects(term),
+                suspects: self.boxes[other].suspects_primary(term),
             };
             self.at(STEP, Due::Tell(by, event));
         }
--- a/tests/unit/fake.rs
+++ b/tests/unit/fake.rs
@@ -510,7 +510,7 @@
             } => self.answered(owner, id, began, answer),
             Delivery::Wake(owner) => {
                 self.tell(owner, Event::Tick);
-                let next = self.owners[owner].wake().max(self.now + ms(1));
+                let next = self.owners[owner].next_tick().max(self.now + ms(1));
                 self.at(next.min(self.now + ms(20)), Delivery::Wake(owner));
             }
             Delivery::Replicate(member) => {
@@ -577,7 +577,7 @@
             let event = Event::OpinionReceived {
                 from: format!("b{other}").into(),
                 near: false,
-                suspects: self.owners[other].suspects(term),
+                suspects: self.owners[other].suspects_primary(term),
             };
             let at = self.now + self.delay() + self.delay();
             self.at(at, Delivery::ToOwner { owner, event });
--- a/tests/unit/group.rs
+++ b/tests/unit/group.rs
@@ -66,7 +66,7 @@
     // Nobody answers any more; the group is woken only when it asks to be.
     let mut now = ms(2);
     while !is_suspected(&group) && now < ms(10_000) {
-        now = group.wake().max(now + ms(1));
+        now = group.next_tick().max(now + ms(1));
         group.handle(Event::Tick, now);
     }
     // The period, and three tries of 200 ms each.
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -804,7 +804,7 @@
     let mut group = Group::new(plan(members), "d0".into(), 0, settings(), 1, ms(0));
     let mut now = ms(0);
     group.handle(Event::Tick, now);
-    expect_that!(group.reaches(now), none());
+    expect_that!(group.reaches_majority(now), none());
     while now < ms(3_000) {
         now += ms(50);
         let answer = Ok(status(Role::Replica, 1, 1, 10));
@@ -820,7 +820,7 @@
             group.handle(Event::ConnectTimedOut { member }, now);
         }
     }
-    expect_that!(group.reaches(now), some(eq(false)));
+    expect_that!(group.reaches_majority(now), some(eq(false)));
 }
 
 /// On trouble-2 of mlg-cartes-grown ten boxes that did not get through to the store
--- a/tests/unit/leaving.rs
+++ b/tests/unit/leaving.rs
@@ -168,14 +168,14 @@
     let mut ticks = 0;
     let over = |a: &Action| matches!(a, Action::Log(Note::DrainExpired { .. }));
     while bench.asked(over) == 0 && bench.now < word + MOST {
-        bench.now = bench.group.wake().max(bench.now + ms(1));
+        bench.now = bench.group.next_tick().max(bench.now + ms(1));
         bench.tell(Event::Tick);
         ticks += 1;
         if bench.asked(over) == 0 {
             bench.report(0, status(Role::Primary, 1, 1, 10));
         }
     }
-    expect_that!(bench.now, eq(word + decisions().leave_most));
+    expect_that!(bench.now, eq(word + decisions().drain_limit));
     // 2,201 before it rested between them, 6 since.
     expect_that!(ticks, le(20));
 }
@@ -438,7 +438,7 @@
              cloud_api:\n  address: 127.0.0.1:6\n"
         );
         let file = File::parse("f", &text).expect("a good file");
-        expect_that!(file.decisions().leave_most, eq(most));
+        expect_that!(file.decisions().drain_limit, eq(most));
     }
 }
 
@@ -447,13 +447,13 @@
 fn of_two_bounds_the_shorter_holds_for_a_member_that_leaves_already() {
     for (before, after) in [(ms(7_000), ms(3_000)), (ms(3_000), ms(7_000))] {
         let mut bench = Bench::new(0);
-        bench.group.set_leave_most(before);
+        bench.group.set_drain_limit(before);
         let alone = |leaving| plan(vec![member(0, leaving)]);
         bench.group.set_plan(alone(false), bench.now);
         look_for(&mut bench, ms(4_000));
         bench.group.set_plan(alone(true), bench.now);
         look_for(&mut bench, ms(1_000));
-        bench.group.set_leave_most(after);
+        bench.group.set_drain_limit(after);
         bench.arrive(1);
         expect_that!(assigned(&bench, 1), eq(true));
         look_for(&mut bench, ms(2_100));
--- a/tests/unit/orders.rs
+++ b/tests/unit/orders.rs
@@ -207,7 +207,7 @@
         for action in actions {
             self.act(by, action);
         }
-        let wake = self.boxes[by].wake().saturating_sub(self.now);
+        let wake = self.boxes[by].next_tick().saturating_sub(self.now);
         self.at(wake.clamp(ms(5), ms(100)), Step::Wake(by));
     }
 
@@ -246,7 +246,7 @@
                 let event = Event::OpinionReceived {
                     from: "other".into(),
                     near: false,
-                    suspects: self.boxes[1 - by].suspects(term),
+                    suspects: self.boxes[1 - by].suspects_primary(term),
                 };
                 self.soon(Step::Tell(by, event));
             }
