--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -1,16 +1,16 @@
-//! All decisions about one group, as one of its owners takes them.
+//! Decisions about one group at one of its owners.
 //!
-//! Events and the time go in, actions come out. The state holds what is known
-//! of each member, who waits for what, and the replacement in progress.
+//! [`Group::handle`] takes an event and the time, and returns actions. The state consists of
+//! the known state of each member, the waiting requests and the replacement in progress.
 
-mod confirming;
+mod confirmation;
+mod dispatch;
 mod membership;
 mod message;
-mod observing;
-mod passing;
-mod placing;
-mod restarting;
+mod observation;
+mod restart;
 mod settings;
+mod timers;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -39,142 +39,141 @@
 
 pub use message::{Action, Event, Note, Reason, Refusal, Request, Target, Via};
 
-/// A report of a term further ahead than this is not believed.
-const MOST_TERMS_AHEAD: u64 = 1 << 20;
+/// Reports of a term further ahead than this are rejected as implausible.
+const MAX_TERMS_AHEAD: u64 = 1 << 20;
 
-/// Time after which waits for the lease are looked at again.
-const LEAST_LOOK: Duration = Duration::from_millis(120);
+/// Least time between two wake-ups for requests that wait for the lease.
+const MIN_LEASE_PROBE_INTERVAL: Duration = Duration::from_millis(120);
 
-/// An answer that takes this many times as long as the last ones will not come, or
-/// too late.
-const PATIENCE: u32 = 6;
+/// A read is repeated elsewhere after this multiple of the member's mean latency.
+const READ_TIMEOUT_FACTOR: u32 = 6;
 
 struct Member {
     spec: MemberSpec,
-    /// Newest report and when it was asked for.
-    view: Option<(Status, Duration)>,
-    /// Least position its reads see, from reports and answers.
+    /// Newest report and when it was requested.
+    report: Option<(Status, Duration)>,
+    /// Least position that reads on the member see, from reports and answers.
     applied: Position,
     detector: Box<dyn Detector>,
-    /// A connection was refused or reset, and no probe has been answered since.
-    broken: Option<Duration>,
+    /// When a connection was refused or reset; `None` once a later probe was answered.
+    connection_lost: Option<Duration>,
     suspected: bool,
-    probes: u32,
-    probed: Option<Duration>,
-    wanted: bool,
-    fair: Fair,
+    /// Probes without an answer so far.
+    pending_probes: u32,
+    last_probe: Option<Duration>,
+    probe_wanted: bool,
+    queue: Fair,
     latency: Latency,
-    /// It reports that it is a replica.
+    /// Whether the newest report shows that the member does not lead, or may not lead on.
     demoted: bool,
-    /// Newest moment at which it is known to have kept to the present term: a primary
-    /// led, or a replica received what the primary wrote later.
-    kept: Option<Duration>,
-    /// Newest moment at which it was seen without a fence. Where fences end with a
-    /// promotion this says nothing of the others.
-    clear: Option<Duration>,
-    /// It came into the list while this box watched the group.
-    joined: bool,
-    /// When it was last told to follow the primary.
-    told: Option<Duration>,
-    /// Connections at once that it takes, as far as was found out.
-    room: usize,
-    /// When one more is tried.
-    widen: Duration,
-    /// Since when it is missing from the list.
-    missing: Option<Duration>,
-    /// It leaves: by its word, or because the list names it no more.
-    departs: Option<Departure>,
-    /// The time that it gets as one that leaves, as it was when its leaving was heard of.
-    serve_most: Option<Duration>,
-    /// It has had all the time that a leaving member gets.
-    spent: bool,
-    /// It is no member any more; its place is kept, since members go by place.
-    gone: bool,
-    /// It started again, and has a new place since.
-    succeeded: bool,
-    /// Of a member that started again: what its earlier start is known to have held, and
-    /// when the news came.
-    earlier: Option<Earlier>,
+    /// Newest moment at which the member is known to have been in the present term: a primary
+    /// led, or a replica received an entry that the primary wrote later.
+    in_term_at: Option<Duration>,
+    /// Newest moment at which the member was seen without a fence. If fences end with a
+    /// promotion, this proves nothing about other members.
+    unfenced_at: Option<Duration>,
+    /// Whether the member joined after this box took over the group.
+    joined_later: bool,
+    /// When the member was last ordered to follow the primary.
+    last_follow: Option<Duration>,
+    /// Number of connections that the member accepts from this box, as far as known.
+    connection_limit: usize,
+    /// When the connection limit is raised by one.
+    next_limit_raise: Duration,
+    /// Since when the member is missing from the list.
+    missing_since: Option<Duration>,
+    /// Set if the member announced that it leaves, or is missing from the list.
+    departure: Option<Departure>,
+    /// The drain limit in force when this box heard that the member leaves.
+    drain_limit: Option<Duration>,
+    /// Whether the drain time is over.
+    drain_expired: bool,
+    /// Whether the member was removed. Its index stays taken.
+    removed: bool,
+    /// Whether the member restarted and has a new index.
+    superseded: bool,
+    /// Set for a member that restarted.
+    earlier_start: Option<EarlierStart>,
 }
 
-/// What is known of a member's earlier start.
+/// What is known of a restarted member's earlier start.
 #[derive(Clone, Copy, Debug)]
-struct Earlier {
-    /// Newest position it was seen at.
+struct EarlierStart {
+    /// Newest position at which the member was seen.
     log: Position,
-    /// When this box heard that it started again.
-    heard: Duration,
+    /// When this box learned of the restart.
+    restart_seen: Duration,
 }
 
 impl Member {
     fn new(spec: MemberSpec, capacity: usize, settings: &Settings, now: Duration) -> Self {
         Self {
             spec,
-            view: None,
+            report: None,
             applied: Position::ZERO,
             detector: Box::new(Baseline::new(settings.detect, now)),
-            broken: None,
+            connection_lost: None,
             suspected: false,
-            probes: 0,
-            probed: None,
-            wanted: false,
-            fair: Fair::new(capacity, settings.service_time),
+            pending_probes: 0,
+            last_probe: None,
+            probe_wanted: false,
+            queue: Fair::new(capacity, settings.service_time),
             latency: Latency::new(settings.service_time),
             demoted: false,
-            kept: None,
-            clear: None,
-            joined: false,
-            told: None,
-            room: capacity,
-            widen: now,
-            missing: None,
-            departs: None,
-            serve_most: None,
-            spent: false,
-            gone: false,
-            succeeded: false,
-            earlier: None,
+            in_term_at: None,
+            unfenced_at: None,
+            joined_later: false,
+            last_follow: None,
+            connection_limit: capacity,
+            next_limit_raise: now,
+            missing_since: None,
+            departure: None,
+            drain_limit: None,
+            drain_expired: false,
+            removed: false,
+            superseded: false,
+            earlier_start: None,
         }
     }
 
-    /// Time until it is expected to answer one more statement.
-    fn wait(&self, now: Duration, slots: usize) -> Duration {
-        let load = self.fair.running() + self.fair.on_time();
-        let turns = 1.0 + load as f64 / slots.max(1) as f64;
+    /// Expected time until the member answers one more statement.
+    fn expected_wait(&self, now: Duration, slots: usize) -> Duration {
+        let load = self.queue.running() + self.queue.on_time();
+        let rounds = 1.0 + load as f64 / slots.max(1) as f64;
         let run = self.latency.mean(now);
-        let queue = match self.fair.has_room() {
+        let queued = match self.queue.has_room() {
             true => Duration::ZERO,
-            false => run * (self.fair.on_time() as u32 + 1) / self.fair.places() as u32,
+            false => run * (self.queue.on_time() as u32 + 1) / self.queue.places() as u32,
         };
-        run.mul_f64(turns) + queue
+        run.mul_f64(rounds) + queued
     }
 
-    /// Time that it gets as one that leaves: the shorter of what was set when that was heard
-    /// of and what is set now, since other boxes may go by either.
-    fn serves_for(&self, settings: &Settings) -> Duration {
-        let set = settings.drain_limit;
-        self.serve_most.map_or(set, |most| most.min(set))
+    /// Time for which the member is served once it leaves: the shorter of the present limit
+    /// and the limit when this box heard of the departure, since other boxes may use either.
+    fn drain_time(&self, settings: &Settings) -> Duration {
+        let present = settings.drain_limit;
+        self.drain_limit.map_or(present, |limit| limit.min(present))
     }
 
     fn status(&self) -> Option<&Status> {
-        self.view.as_ref().map(|(status, _)| status)
+        self.report.as_ref().map(|(status, _)| status)
     }
 }
 
-/// Who waits for what besides a place at a member.
+/// Waiting requests, by id.
 #[derive(Default)]
 struct Waiting {
-    /// By request: at a member's queue.
+    /// Requests in the queue of a member.
     queued: BTreeMap<u64, (Request, usize)>,
-    /// For a primary.
-    parked: BTreeMap<u64, Request>,
-    /// For the primary's position, observed after their arrival.
-    floorless: BTreeMap<u64, Request>,
-    /// For a replica to reach the floor, until a moment.
-    lagging: BTreeMap<u64, (Request, Duration)>,
+    /// Requests that wait for a primary.
+    for_primary: BTreeMap<u64, Request>,
+    /// Reads that wait for a report of the primary's position, requested after they arrived.
+    for_position: BTreeMap<u64, Request>,
+    /// Reads that wait for a suitable replica, and until when.
+    for_replica: BTreeMap<u64, (Request, Duration)>,
 }
 
-/// One group at one owner.
+/// State of one group at one owner.
 pub struct Group {
     pub plan: Arc<Plan>,
     settings: Settings,
@@ -183,27 +182,28 @@
     replace: Replace,
     confirm: Confirm,
     history: History,
-    /// Newest position of our term that a majority is known to hold.
-    held: Position,
+    /// Newest position of the present term that a majority is known to hold.
+    majority_position: Position,
     waiting: Waiting,
-    dice: SmallRng,
-    born: Duration,
-    /// The leaving primary whose time is counted.
-    leaving: Option<usize>,
-    /// When its replacement is looked at again.
-    hand_over: Option<Duration>,
-    /// What was seen up to then does not count for the lease.
-    revoked: Duration,
-    /// Those who promote know of this box.
+    rng: SmallRng,
+    started_at: Duration,
+    /// The primary, if it is leaving.
+    draining_primary: Option<usize>,
+    /// When the hand-over of the leaving primary is checked again.
+    next_handover_check: Option<Duration>,
+    /// When the lease was last given up. Only later observations count for it.
+    lease_revoked_at: Duration,
+    /// Whether the boxes that may promote know of this box, so that it may use the lease.
     listed: bool,
-    /// Boxes that own the group.
+    /// Number of boxes that own the group.
     owners: u32,
-    crowd: u32,
-    /// Places whose members started again, and their new ones, still to be acted on.
-    restarted: Vec<(usize, usize)>,
+    /// Factor on the probe periods of a box with many groups.
+    load_factor: u32,
+    /// Earlier and new index of restarted members that are still to be handled.
+    pending_restarts: Vec<(usize, usize)>,
 }
 
-/// What a dump shows of a member.
+/// A member in a dump.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberDump {
     pub name: Arc<str>,
@@ -214,16 +214,16 @@
     pub age_ms: Option<u64>,
     pub suspected: bool,
     pub running: usize,
-    /// Open transactions between their statements.
+    /// Idle transactions.
     pub resting: usize,
     pub waiting: usize,
-    /// Those of them that can't be answered within their aim any more.
+    /// Waiting requests that can't meet their latency target any more.
     pub late: usize,
-    /// Connections at once that the member takes from this box.
+    /// Number of connections that the member accepts from this box.
     pub room: usize,
 }
 
-/// What a dump shows of a group.
+/// A group in a dump.
 #[derive(Clone, Debug, Serialize)]
 pub struct GroupDump {
     pub id: Arc<str>,
@@ -255,32 +255,32 @@
             members,
             confirm: Confirm::default(),
             history: History::default(),
-            held: Position::ZERO,
+            majority_position: Position::ZERO,
             waiting: Waiting::default(),
-            dice: SmallRng::seed_from_u64(seed),
-            born: now,
-            leaving: None,
-            hand_over: None,
-            revoked: Duration::ZERO,
+            rng: SmallRng::seed_from_u64(seed),
+            started_at: now,
+            draining_primary: None,
+            next_handover_check: None,
+            lease_revoked_at: Duration::ZERO,
             listed: false,
             owners,
-            crowd: 1,
-            restarted: Vec::new(),
+            load_factor: 1,
+            pending_restarts: Vec::new(),
             plan,
         };
-        group.note_departures(now);
-        group.note_members();
-        group.set_periods();
+        group.update_departures(now);
+        group.update_members();
+        group.update_probe_periods();
         group.set_owners(owners);
         group
     }
 
-    /// Time after which a read at a member is better repeated elsewhere.
+    /// Time after which a read on a member should be repeated on another.
     pub fn read_timeout(&self, member: usize, now: Duration) -> Duration {
-        self.members[member].latency.mean(now) * PATIENCE
+        self.members[member].latency.mean(now) * READ_TIMEOUT_FACTOR
     }
 
-    /// Connections to each member that stay open without use.
+    /// Number of idle connections to each member that are kept open.
     pub fn idle_connections(&self) -> usize {
         (self.connection_share() * self.settings.idle_connections_percent as usize / 100).max(1)
     }
@@ -298,42 +298,44 @@
         self.replace.primary
     }
 
-    /// Which members this owner suspects, by place.
+    /// Whether this owner suspects each member, by index.
     pub fn suspicions(&self) -> impl Iterator<Item = bool> {
         self.members.iter().map(|member| member.suspected)
     }
 
-    /// `crowd` is the factor by which a box with many groups looks less often.
-    pub fn set_rank(&mut self, rank: u32, crowd: u32) {
+    /// Sets this owner's rank, and the factor by which a box with many groups probes less
+    /// often.
+    pub fn set_rank(&mut self, rank: u32, load_factor: u32) {
         self.replace.set_rank(rank);
-        self.crowd = crowd;
-        self.set_periods();
+        self.load_factor = load_factor;
+        self.update_probe_periods();
     }
 
-    /// The first owner looks at the primary most often: control traffic is scarce.
-    fn set_periods(&mut self) {
+    /// Sets the members' probe periods. Only the first owner probes the primary at the full
+    /// rate, which limits the control traffic.
+    fn update_probe_periods(&mut self) {
         let settings = self.settings;
-        let own = match self.replace.rank() {
+        let rank_factor = match self.replace.rank() {
             0 => 1,
             _ => settings.secondary_period_factor,
         };
         let primary = self.replace.primary;
         for (i, member) in self.members.iter_mut().enumerate() {
-            let role = match primary {
+            let role_factor = match primary {
                 Some(primary) if primary != i => settings.secondary_period_factor,
                 _ => 1,
             };
-            let factor = own * role * self.crowd;
+            let factor = rank_factor * role_factor * self.load_factor;
             member.detector.set_period(settings.detect.period * factor);
         }
     }
 
-    /// What the number of this owner's order follows from.
+    /// The ballot from which the generation of this owner's promotion order is derived.
     pub fn ballot(&self) -> Ballot {
         self.replace.ballot()
     }
 
-    /// What this owner's ballot of `term` asks of a member.
+    /// The bid that this owner's ballot of `term` sends to a member.
     pub fn bid(&self, term: u64) -> Bid {
         Bid {
             term,
@@ -342,22 +344,22 @@
         }
     }
 
-    /// Whether this owner is taking the primary's lead away.
+    /// Whether this owner is replacing the primary.
     pub fn is_deposing(&self) -> bool {
         self.replace.is_deposing()
     }
 
-    /// Whether this owner reaches a majority; none while it has not found out.
+    /// Whether this owner reaches a majority; `None` while that is not known yet.
     pub fn reaches_majority(&self, now: Duration) -> Option<bool> {
         if self.sees_majority() {
             return Some(true);
         }
-        let looked = now >= self.born + self.settings.detect.period;
-        let known = self.replace.primary.is_some() || (looked && !self.may_see_majority());
+        let probed = now >= self.started_at + self.settings.detect.period;
+        let known = self.replace.primary.is_some() || (probed && !self.may_see_majority());
         known.then_some(false)
     }
 
-    /// Whether this owner finds the primary suspect, for a peer who asks.
+    /// Whether this owner suspects the primary of `term`, for a peer that asks.
     pub fn suspects_primary(&self, term: u64) -> bool {
         match self.replace.primary {
             Some(primary) if self.replace.term <= term => self.members[primary].suspected,
@@ -366,57 +368,61 @@
         }
     }
 
-    /// Handles one event.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, event: Event, now: Duration) -> Vec<Action> {
         let mut out = Vec::new();
-        // First: nothing may be placed by what has run out meanwhile.
-        self.note_restarted(now, &mut out);
-        self.note_spent(now, &mut out);
+        // These come first: no request may be dispatched by outdated state.
+        self.apply_restarts(now, &mut out);
+        self.expire_drains(now, &mut out);
         match event {
             Event::Tick => {}
-            Event::Arrived(request) => self.place(request, now, &mut out),
+            Event::Arrived(request) => self.dispatch(request, now, &mut out),
             Event::Withdrawn { id } => self.withdraw(id),
             Event::Answered {
                 member,
                 began,
                 position,
-                proves_primary: led,
-            } => self.answered(member, began, position, led, now, &mut out),
-            Event::SlotReleased { member, took } => self.release(member, took, now, &mut out),
-            Event::TransactionIdle { member, took } => self.rest(member, took, now, &mut out),
-            Event::TransactionResumed { member } => self.members[member].fair.resume(),
-            Event::IdleTransactionEnded { member } => self.vacate(member, now, &mut out),
+                proves_primary,
+            } => self.record_answer(member, began, position, proves_primary, now, &mut out),
+            Event::SlotReleased { member, took } => self.release_slot(member, took, now, &mut out),
+            Event::TransactionIdle { member, took } => {
+                self.idle_transaction(member, took, now, &mut out)
+            }
+            Event::TransactionResumed { member } => self.members[member].queue.resume(),
+            Event::IdleTransactionEnded { member } => {
+                self.end_idle_transaction(member, now, &mut out)
+            }
             Event::AnswerTimedOut { member, after } => {
                 self.members[member].latency.late(after, now);
                 self.members[member].detector.hurry(now);
                 if self.members[member].spec.domain != self.domain {
-                    self.hurry_far(now);
+                    self.probe_other_domains(now);
                 }
             }
-            Event::ConnectionLimitReached { member } => self.full(member, now),
-            Event::ProbeAll => self.want_all(),
-            Event::ProbeOtherDomains => self.hurry_far(now),
+            Event::ConnectionLimitReached { member } => self.lower_connection_limit(member, now),
+            Event::ProbeAll => self.request_probes(),
+            Event::ProbeOtherDomains => self.probe_other_domains(now),
             Event::ConnectTimedOut { member } => {
-                self.members[member].wanted = true;
+                self.members[member].probe_wanted = true;
                 self.members[member].detector.hurry(now);
             }
             Event::ReplicaBehind { member } => {
                 self.members[member].applied = Position::ZERO;
-                self.members[member].wanted = true;
+                self.members[member].probe_wanted = true;
             }
             Event::OpinionRequested => {
-                // Owners that are not the first look seldom: now is the time.
+                // Owners other than the first probe rarely.
                 if let Some(primary) = self.replace.primary {
                     self.members[primary].detector.hurry(now);
                 }
             }
-            Event::ConnectionLost { member } => self.broken(member, now, &mut out),
+            Event::ConnectionLost { member } => self.record_connection_loss(member, now, &mut out),
             Event::ConfirmWrite {
                 id,
                 member,
                 position,
                 deadline,
-            } => self.wrote(id, member, position, deadline, now, &mut out),
+            } => self.confirm_write(id, member, position, deadline, now, &mut out),
             Event::ConfirmRead {
                 id,
                 term,
@@ -429,122 +435,136 @@
                     Need::Holds(_) | Need::Received(_) => now,
                     Need::Unfenced(_) => since,
                 };
-                self.verify(id, need, since, deadline, now, &mut out);
+                self.confirm_read(id, need, since, deadline, now, &mut out);
             }
             Event::Probed {
                 member,
                 began,
                 answer,
-            } => self.status(member, began, answer, now, &mut out),
-            // What an earlier start granted, or one that was given up, counts no more.
-            Event::Fenced { member, .. } if self.members[member].gone => {}
+            } => self.handle_probe(member, began, answer, now, &mut out),
+            // A grant of a removed member or of an earlier start is void.
+            Event::Fenced { member, .. } if self.members[member].removed => {}
             Event::Fenced {
                 member,
                 term,
                 answer,
             } => {
                 let steps = self.replace.fenced(member, term, &answer, now);
-                self.take_steps(steps, now, &mut out);
+                self.apply_steps(steps, now, &mut out);
             }
             Event::DutyClaimed { won } => {
                 let steps = self.replace.claimed(won, now);
-                self.take_steps(steps, now, &mut out);
+                self.apply_steps(steps, now, &mut out);
             }
             Event::DutyTakenElsewhere => self.replace.note_foreign(now),
-            Event::RevokeLease => self.revoke(now),
+            Event::RevokeLease => self.revoke_lease(now),
             Event::LeasesRevoked { term } => {
                 let steps = self.replace.revoked(term, now);
-                self.take_steps(steps, now, &mut out);
+                self.apply_steps(steps, now, &mut out);
             }
             Event::BoxListed { listed } => self.listed = listed,
             Event::Promoted { term, answer } => {
                 let steps = self.replace.promoted(term, &answer, now);
-                self.take_steps(steps, now, &mut out);
+                self.apply_steps(steps, now, &mut out);
             }
             Event::OpinionReceived {
                 from,
                 near,
                 suspects,
             } => self.replace.opinion(from, near, suspects),
-            Event::PrimaryAnnounced { term, primary } => self.news(term, &primary, now, &mut out),
+            Event::PrimaryAnnounced { term, primary } => {
+                self.learn_primary(term, &primary, now, &mut out)
+            }
         }
         self.tick(now, &mut out);
-        self.check();
+        self.check_invariants();
         out
     }
 
-    /// Looks at the members of other failure domains before their turn: where one of them is
-    /// silent, the way there may be cut, and a cut is known only once a majority is lost.
-    fn hurry_far(&mut self, now: Duration) {
+    /// Probes the members of other failure domains at once, if the loss of a domain must be
+    /// tolerated. A silent member may mean that the network is partitioned, and a partition
+    /// is recognised only once a majority is lost.
+    fn probe_other_domains(&mut self, now: Duration) {
         if !self.settings.domain_loss {
             return;
         }
         let domain = &self.domain;
-        let far = self.members.iter_mut();
-        for member in far.filter(|member| member.spec.domain != *domain) {
+        let members = self.members.iter_mut();
+        for member in members.filter(|member| member.spec.domain != *domain) {
             member.detector.hurry(now);
         }
     }
 
-    /// Invariants, asserted after every event.
-    fn check(&self) {
+    /// Asserts the invariants, after every event.
+    fn check_invariants(&self) {
         if let Some(primary) = self.replace.primary {
             assert!(primary < self.members.len(), "the primary is a member");
             assert!(self.replace.term > 0, "a primary has a term");
         }
-        for id in self.waiting.parked.keys() {
+        for id in self.waiting.for_primary.keys() {
             assert!(
                 !self.waiting.queued.contains_key(id),
-                "a request waits in one place"
+                "a request is in one wait at a time"
             );
         }
     }
 
-    /// When a tick is due at the latest.
+    /// When the next [`Event::Tick`] is due at the latest.
     pub fn next_tick(&self) -> Duration {
         let never = Duration::MAX;
-        let present = self.members.iter().filter(|member| !member.gone);
+        let present = self.members.iter().filter(|member| !member.removed);
         let probes = present.map(|member| {
             let due = member.detector.due();
-            // A suspicion has to be noticed when nothing else happens.
+            // A suspicion must be noticed even without other events.
             let silent = member.detector.deadline().filter(|_| !member.suspected);
             let due = silent.map_or(due, |deadline| due.min(deadline));
-            match (member.wanted, member.probed) {
+            match (member.probe_wanted, member.last_probe) {
                 (true, Some(probed)) => due.min(probed + self.settings.probe_gap),
                 _ => due,
             }
         });
         let ballot = match self.settings.wait_until_deadline {
-            true => placing::PATIENT_END,
+            true => dispatch::REFUSAL_MARGIN,
             false => self.settings.replace.ballot,
         };
-        let parked = self.waiting.parked.values();
-        let parked = parked.map(|request| request.deadline.saturating_sub(ballot));
-        let floorless = self.waiting.floorless.values().map(|r| r.deadline);
-        let lagging = self.waiting.lagging.values().map(|(_, until)| *until);
-        let queued = self.members.iter().filter_map(|m| m.fair.next_expiry());
-        let look = (!self.confirm.is_empty() && !self.settings.replace.lease.is_zero())
-            .then(|| self.settings.probe_gap.max(LEAST_LOOK));
-        let look = look.zip(self.members.iter().filter_map(|m| m.probed).max());
-        let look = look.map(|(gap, probed)| probed + gap);
-        let departing = self.members.iter().filter(|m| !m.spent && !m.gone);
-        let spent = departing.filter_map(|m| Some(m.departs?.due(m.serves_for(&self.settings))));
+        let for_primary = self.waiting.for_primary.values();
+        let for_primary = for_primary.map(|request| request.deadline.saturating_sub(ballot));
+        let for_position = self.waiting.for_position.values().map(|r| r.deadline);
+        let for_replica = self.waiting.for_replica.values().map(|(_, until)| *until);
+        let queued = self.members.iter().filter_map(|m| m.queue.next_expiry());
+        let lease = (!self.confirm.is_empty() && !self.settings.replace.lease.is_zero())
+            .then(|| self.settings.probe_gap.max(MIN_LEASE_PROBE_INTERVAL));
+        let lease = lease.zip(self.members.iter().filter_map(|m| m.last_probe).max());
+        let lease = lease.map(|(gap, probed)| probed + gap);
+        let draining = self
+            .members
+            .iter()
+            .filter(|m| !m.drain_expired && !m.removed);
+        let drained = draining.filter_map(|m| Some(m.departure?.due(m.drain_time(&self.settings))));
         let replace = self.replace.wake().into_iter();
-        let replace = replace.chain(self.hand_over).chain(spent);
-        let all = probes.chain(parked).chain(floorless).chain(lagging);
-        let most = self.most_connections();
-        let narrow = self.members.iter().filter(|m| m.room < most && !m.gone);
-        let narrow = narrow.filter(|m| m.fair.waiting() > 0).map(|m| m.widen);
+        let replace = replace.chain(self.next_handover_check).chain(drained);
+        let all = probes
+            .chain(for_primary)
+            .chain(for_position)
+            .chain(for_replica);
+        let capacity = self.connection_capacity();
+        let limited = self
+            .members
+            .iter()
+            .filter(|m| m.connection_limit < capacity && !m.removed);
+        let limited = limited
+            .filter(|m| m.queue.waiting() > 0)
+            .map(|m| m.next_limit_raise);
         let all = all
             .chain(queued)
             .chain(replace)
-            .chain(self.next_forgotten())
-            .chain(look)
-            .chain(narrow);
+            .chain(self.next_removal())
+            .chain(lease)
+            .chain(limited);
         all.min().unwrap_or(never)
     }
 
-    /// The state, for an operator.
+    /// Returns the state for operators.
     pub fn dump(&self, now: Duration) -> GroupDump {
         let ages: BTreeMap<usize, Option<Duration>> = self
             .candidates(now)
@@ -563,14 +583,14 @@
                 .flatten()
                 .map(|age| age.as_millis() as u64),
             suspected: member.suspected,
-            running: member.fair.running(),
-            resting: member.fair.resting(),
-            waiting: member.fair.waiting(),
-            late: member.fair.waiting() - member.fair.on_time(),
-            room: member.room,
+            running: member.queue.running(),
+            resting: member.queue.resting(),
+            waiting: member.queue.waiting(),
+            late: member.queue.waiting() - member.queue.on_time(),
+            room: member.connection_limit,
         };
         let members = self.members.iter().enumerate();
-        let members = members.filter(|(_, member)| !member.succeeded);
+        let members = members.filter(|(_, member)| !member.superseded);
         GroupDump {
             id: self.plan.id.clone(),
             term: self.replace.term,
@@ -579,14 +599,14 @@
                 .primary
                 .map(|primary| self.members[primary].spec.name.clone()),
             phase: self.replace.phase(),
-            waiting_for_primary: self.waiting.parked.len(),
+            waiting_for_primary: self.waiting.for_primary.len(),
             waiting_for_confirmation: self.confirm.len(),
             members: members.map(member).collect(),
         }
     }
 }
 
-fn demand_of(request: &Request) -> Option<Demand> {
+fn read_demand(request: &Request) -> Option<Demand> {
     let Target::Replica { max_age } = request.target else {
         return None;
     };
--- a/src/decisions/group/confirming.rs
+++ b/src/decisions/group/confirmation.rs
@@ -1,11 +1,11 @@
-//! Waits for a majority: of writes, and of reads from the primary.
+//! Confirmation of writes, and of reads from the primary, by a majority or the lease.
 
 use std::time::Duration;
 
 use super::*;
 
 impl Group {
-    pub(super) fn wrote(
+    pub(super) fn confirm_write(
         &mut self,
         id: u64,
         member: usize,
@@ -14,11 +14,11 @@
         now: Duration,
         out: &mut Vec<Action>,
     ) {
-        let alone = self.plan.group.durability != Durability::Majority;
-        if alone && !self.settings.replace.lease.is_zero() {
-            return self.wrote_alone(id, member, position, deadline, now, out);
+        let primary_suffices = self.plan.group.durability != Durability::Majority;
+        if primary_suffices && !self.settings.replace.lease.is_zero() {
+            return self.confirm_write_under_lease(id, member, position, deadline, now, out);
         }
-        let outcome = if alone {
+        let outcome = if primary_suffices {
             Some(Outcome::Confirmed)
         } else if position.term < self.replace.term {
             Some(Outcome::Unknown)
@@ -27,17 +27,17 @@
         } else {
             None
         };
-        if Self::settle_now(id, outcome, out) {
+        if Self::settle_if_known(id, outcome, out) {
             return;
         }
         let need = Need::Holds(position);
         self.confirm.add(id, need, Some(member), now, deadline);
-        self.want_for_confirmation(now);
+        self.request_confirmation_probes(now);
     }
 
-    /// A write that only the primary holds is acknowledged while no other primary can
+    /// Confirms a write that only the primary holds, provided that no other primary can
     /// have been promoted.
-    fn wrote_alone(
+    fn confirm_write_under_lease(
         &mut self,
         id: u64,
         member: usize,
@@ -47,31 +47,33 @@
         out: &mut Vec<Action>,
     ) {
         let leads = Some(member) == self.replace.primary;
-        let outcome = match (leads, self.is_leased(now)) {
+        let outcome = match (leads, self.holds_lease(now)) {
             (false, _) => Some(Outcome::Unknown),
             (true, true) => Some(Outcome::Confirmed),
             (true, false) => None,
         };
-        if Self::settle_now(id, outcome, out) {
+        if Self::settle_if_known(id, outcome, out) {
             return;
         }
-        // A primary that has not written yet in its term may show the one before.
+        // Before its first write in a term, a primary may report the previous term.
         let need = Need::Received(Position::new(self.replace.term, position.index));
         self.confirm.add(id, need, Some(member), now, deadline);
-        self.want_for_confirmation(now);
+        self.request_confirmation_probes(now);
     }
 
-    /// What a read from the primary must wait for. What no majority holds yet may
-    /// be lost with this primary, and then its reader would go back in time.
+    /// Returns what a read from the primary must wait for. Entries that no majority holds
+    /// may be lost with the primary, and a later read would then show an older state.
     pub(super) fn read_need(&self, term: u64, position: Option<Position>) -> Need {
-        let sure = self.plan.group.durability != Durability::Majority;
+        let primary_suffices = self.plan.group.durability != Durability::Majority;
         match position {
-            Some(position) if !sure && position > self.held => Need::Holds(position),
+            Some(position) if !primary_suffices && position > self.majority_position => {
+                Need::Holds(position)
+            }
             _ => Need::Unfenced(term),
         }
     }
 
-    pub(super) fn verify(
+    pub(super) fn confirm_read(
         &mut self,
         id: u64,
         need: Need,
@@ -80,42 +82,45 @@
         now: Duration,
         out: &mut Vec<Action>,
     ) {
-        let seen = self.verified(now).is_some_and(|moment| moment >= since) || self.is_leased(now);
+        let current = self
+            .term_confirmed_at(now)
+            .is_some_and(|moment| moment >= since)
+            || self.holds_lease(now);
         let outcome = if self.replace.majority() == 1 {
             Some(Outcome::Confirmed)
         } else if need.term() < self.replace.term {
             Some(Outcome::Unknown)
-        } else if seen && matches!(need, Need::Unfenced(_)) {
+        } else if current && matches!(need, Need::Unfenced(_)) {
             Some(Outcome::Confirmed)
         } else {
             None
         };
-        if Self::settle_now(id, outcome, out) {
+        if Self::settle_if_known(id, outcome, out) {
             return;
         }
         self.confirm.add(id, need, None, since, deadline);
-        self.want_for_confirmation(now);
+        self.request_confirmation_probes(now);
     }
 
-    /// Moves up the newest position that a majority is known to hold.
-    pub(super) fn note_held(&mut self) {
+    /// Advances the newest position that a majority is known to hold.
+    pub(super) fn update_majority_position(&mut self) {
         let term = self.replace.term;
-        let held = |member: &Member| {
+        let log_of_term = |member: &Member| {
             let log = member.status()?.log;
             (log.term == term).then_some(log)
         };
-        let mut logs: Vec<Position> = self.members.iter().filter_map(held).collect();
+        let mut logs: Vec<Position> = self.members.iter().filter_map(log_of_term).collect();
         logs.sort_unstable_by(|a, b| b.cmp(a));
         if let Some(log) = logs.get(self.replace.majority() - 1) {
-            self.held = self.held.max(*log);
+            self.majority_position = self.majority_position.max(*log);
         }
     }
 
-    /// Ends a wait that need not begin.
-    fn settle_now(id: u64, outcome: Option<Outcome>, out: &mut Vec<Action>) -> bool {
-        let settled = outcome.map(|outcome| (id, outcome));
-        Self::settle(settled.into_iter().collect(), out);
-        settled.is_some()
+    /// Settles a request whose outcome is known already. Returns whether it was.
+    fn settle_if_known(id: u64, outcome: Option<Outcome>, out: &mut Vec<Action>) -> bool {
+        let ended = outcome.map(|outcome| (id, outcome));
+        Self::settle(ended.into_iter().collect(), out);
+        ended.is_some()
     }
 
     pub(super) fn settle(ended: Vec<(u64, Outcome)>, out: &mut Vec<Action>) {
--- a/src/decisions/group/membership.rs
+++ b/src/decisions/group/membership.rs
@@ -1,5 +1,7 @@
-//! Members that come and go, and this box's share of what they offer. A member keeps
-//! its place for as long as the group lives, since everything goes by place.
+//! Members that join and leave, and this box's share of their connections.
+//!
+//! A member keeps its index for the lifetime of the group, since all state refers to members
+//! by index.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,32 +9,32 @@
 use super::*;
 
 impl Group {
-    /// Statements that this box may have at a member at once: no more than its share
-    /// of the connections, and of what keeps the member's slots busy.
-    pub(super) fn capacity(&self) -> usize {
-        let Some(turns) = self.settings.statements_per_slot else {
+    /// Concurrent statements that this box may send to a member: at most its share of the
+    /// connections, and of the statements that keep the member's slots busy.
+    pub(super) fn statement_capacity(&self) -> usize {
+        let Some(per_slot) = self.settings.statements_per_slot else {
             return self.connection_share();
         };
         let group = &self.plan.group;
-        let useful = (group.slots * turns).div_ceil(self.owners.max(1)) as usize;
+        let useful = (group.slots * per_slot).div_ceil(self.owners.max(1)) as usize;
         self.connection_share().min(useful.max(LEAST_SHARE))
     }
 
-    /// Connections that this box may have at a member at once.
-    pub(super) fn most_connections(&self) -> usize {
+    /// Connections that this box may have to a member.
+    pub(super) fn connection_capacity(&self) -> usize {
         match self.settings.idle_frees_slot {
             true => self.connection_share(),
-            false => self.capacity(),
+            false => self.statement_capacity(),
         }
     }
 
-    /// Takes a new plan. Members keep their places; new ones get places of their own.
+    /// Applies a new plan. Known members keep their index; new members are appended.
     pub fn set_plan(&mut self, plan: Arc<Plan>, now: Duration) {
-        let listed = plan.members.iter().map(|spec| self.take_spec(spec, now));
+        let listed = plan.members.iter().map(|spec| self.apply_spec(spec, now));
         let listed: BTreeSet<usize> = listed.collect();
-        for (place, member) in self.members.iter_mut().enumerate() {
-            if !listed.contains(&place) {
-                member.missing = member.missing.or(Some(now));
+        for (index, member) in self.members.iter_mut().enumerate() {
+            if !listed.contains(&index) {
+                member.missing_since = member.missing_since.or(Some(now));
             }
         }
         let members = self.members.iter().map(|member| member.spec.clone());
@@ -40,169 +42,171 @@
             members: members.collect(),
             ..Plan::clone(&plan)
         });
-        self.set_rooms();
-        self.note_departures(now);
-        self.note_members();
+        self.reset_capacities();
+        self.update_departures(now);
+        self.update_members();
     }
 
-    /// Takes a listed member; returns its place.
-    fn take_spec(&mut self, spec: &MemberSpec, now: Duration) -> usize {
-        let newest = |known: &Member| known.spec.shares_place(spec);
-        match self.members.iter().rposition(newest) {
-            Some(place) if self.members[place].spec.started_again(spec) => {
-                self.succeed(place, spec, now)
+    /// Applies a listed member's spec and returns the member's index.
+    fn apply_spec(&mut self, spec: &MemberSpec, now: Duration) -> usize {
+        let same = |known: &Member| known.spec.shares_place(spec);
+        match self.members.iter().rposition(same) {
+            Some(index) if self.members[index].spec.started_again(spec) => {
+                self.restart_member(index, spec, now)
             }
-            Some(place) => {
-                let known = &mut self.members[place];
+            Some(index) => {
+                let known = &mut self.members[index];
                 let born = known.spec.born.max(spec.born);
                 known.spec = MemberSpec {
                     born,
                     ..spec.clone()
                 };
-                known.missing = None;
-                known.gone = false;
-                place
+                known.missing_since = None;
+                known.removed = false;
+                index
             }
             None => {
                 let mut member = Member::new(spec.clone(), 1, &self.settings, now);
-                member.joined = true;
+                member.joined_later = true;
                 self.members.push(member);
                 self.members.len() - 1
             }
         }
     }
 
-    /// Notes since when members leave.
-    pub(super) fn note_departures(&mut self, now: Duration) {
+    /// Records when leaving or missing members announced their departure.
+    pub(super) fn update_departures(&mut self, now: Duration) {
         let grace = self.settings.missing_grace;
         for member in &mut self.members {
-            let most = member.serves_for(&self.settings);
-            let leaves = member.spec.leaving || member.missing.is_some();
-            let told = self.plan.departures.get(&member.spec.name).copied();
-            // Its entry may only have lapsed.
-            let told = match member.spec.leaving {
-                true => told,
-                false => told.map(|told| told.at_most(most.saturating_sub(grace))),
+            let limit = member.drain_time(&self.settings);
+            let leaves = member.spec.leaving || member.missing_since.is_some();
+            let announced = self.plan.departures.get(&member.spec.name).copied();
+            // The entry of a missing member may only have lapsed.
+            let announced = match member.spec.leaving {
+                true => announced,
+                false => announced.map(|known| known.at_most(limit.saturating_sub(grace))),
             };
-            let departs = told.or(member.departs);
-            let departs = departs.unwrap_or_else(|| Departure::said(now));
-            member.departs = leaves.then_some(departs);
-            member.serve_most = leaves.then_some(most);
-            let over = |departs: Departure| now >= departs.due(most);
-            member.spent &= member.departs.is_some_and(over);
+            let departure = announced.or(member.departure);
+            let departure = departure.unwrap_or_else(|| Departure::said(now));
+            member.departure = leaves.then_some(departure);
+            member.drain_limit = leaves.then_some(limit);
+            let expired = |departure: Departure| now >= departure.due(limit);
+            member.drain_expired &= member.departure.is_some_and(expired);
         }
     }
 
-    /// Ends the time of leaving members. It runs out whoever leads and whoever could take
-    /// over: the limit is what callers were promised, and no help in finding a successor.
-    /// Looked at only beside a successor, it let the last member of a group be sent
-    /// statements until it ended, 10 s after its word.
-    pub(super) fn note_spent(&mut self, now: Duration, out: &mut Vec<Action>) {
+    /// Stops sending statements to leaving members whose drain time is over. The limit is
+    /// promised to callers, so it applies even if no other member can take over.
+    pub(super) fn expire_drains(&mut self, now: Duration, out: &mut Vec<Action>) {
         let primary = self.replace.primary;
         let served = self.settings.serve_leaving;
-        let mut fresh = false;
+        let mut any_expired = false;
         for (i, member) in self.members.iter_mut().enumerate() {
-            let most = member.serves_for(&self.settings);
-            let over = member.departs.filter(|departs| now >= departs.due(most));
-            let Some(departs) = over.filter(|_| !member.spent) else {
+            let limit = member.drain_time(&self.settings);
+            let over = member
+                .departure
+                .filter(|departure| now >= departure.due(limit));
+            let Some(departure) = over.filter(|_| !member.drain_expired) else {
                 continue;
             };
-            member.spent = true;
-            fresh = true;
+            member.drain_expired = true;
+            any_expired = true;
             if Some(i) == primary && served {
-                let age = departs.age(now);
+                let age = departure.age(now);
                 out.push(Action::Log(Note::DrainExpired { member: i, age }));
             }
         }
-        if fresh {
-            // What waits for a turn there came in time but would be sent too late.
+        if any_expired {
+            // Requests queued at the member would be sent after its drain time.
             self.requeue(now, out);
         }
     }
 
-    /// Takes another bound for members that leave. Those that leave already get no more than
-    /// they had.
-    pub fn set_drain_limit(&mut self, most: Duration) {
-        self.settings.drain_limit = most;
+    /// Changes the drain limit. It can't grow for members that are leaving already.
+    pub fn set_drain_limit(&mut self, limit: Duration) {
+        self.settings.drain_limit = limit;
     }
 
-    /// Members that could take over from a leaving primary.
+    /// Number of members that could take over from a leaving primary.
     pub(super) fn successors(&self) -> usize {
-        let stays = |member: &&Member| !member.gone && !member.spec.leaving && !member.suspected;
+        let stays = |member: &&Member| !member.removed && !member.spec.leaving && !member.suspected;
         self.members.iter().filter(stays).count()
     }
 
-    /// Says among how many boxes the connections are shared.
+    /// Sets the number of boxes that share the connections.
     pub fn set_owners(&mut self, owners: u32) {
         self.owners = owners;
-        self.set_rooms();
+        self.reset_capacities();
     }
 
-    /// Each member's room is what this box may have there; where a refusal had
-    /// narrowed it, it widens again by itself.
-    pub(super) fn set_rooms(&mut self) {
-        let capacity = self.capacity();
-        let most = self.most_connections();
+    /// Sets each member's limits to this box's share. Discards limits that were lowered after
+    /// a refusal.
+    pub(super) fn reset_capacities(&mut self) {
+        let capacity = self.statement_capacity();
+        let connections = self.connection_capacity();
         let serves_late = self.settings.serve_late;
         for member in &mut self.members {
-            member.room = most;
-            member.fair.set_capacity(capacity);
-            member.fair.set_connections(most);
-            member.fair.set_serves_late(serves_late);
+            member.connection_limit = connections;
+            member.queue.set_capacity(capacity);
+            member.queue.set_connections(connections);
+            member.queue.set_serves_late(serves_late);
         }
     }
 
-    /// Members that are still there, by place.
+    /// Indexes of the members that are still in the group.
     pub fn present(&self) -> impl Iterator<Item = usize> + use<> {
-        let places = self.members.iter().enumerate();
-        let present: Vec<usize> = places.filter(|(_, m)| !m.gone).map(|(i, _)| i).collect();
+        let members = self.members.iter().enumerate();
+        let present: Vec<usize> = members
+            .filter(|(_, m)| !m.removed)
+            .map(|(i, _)| i)
+            .collect();
         present.into_iter()
     }
 
-    pub(super) fn note_members(&mut self) {
-        let lasts = self.settings.replace.fences_end;
-        let alone = self.plan.group.durability == Durability::Primary;
-        self.replace.set_prefer_staying(lasts && alone);
+    pub(super) fn update_members(&mut self) {
+        let fences_end = self.settings.replace.fences_end;
+        let primary_only = self.plan.group.durability == Durability::Primary;
+        self.replace.set_prefer_staying(fences_end && primary_only);
         let leaving = self.present().filter(|i| self.members[*i].spec.leaving);
         self.replace
             .set_members(self.present().collect(), leaving.collect());
     }
 
-    /// When a missing member is given up; the primary, once it counts as leaving, only after
-    /// it was replaced.
-    fn forgotten_at(&self, place: usize) -> Option<Duration> {
-        let member = &self.members[place];
-        let kept = Some(place) == self.replace.primary && member.spec.leaving;
-        let missing = member.missing.filter(|_| !member.gone && !kept);
+    /// When a missing member is to be removed. A missing primary is first treated as leaving
+    /// and is removed only after its replacement.
+    fn removal_due(&self, index: usize) -> Option<Duration> {
+        let member = &self.members[index];
+        let kept = Some(index) == self.replace.primary && member.spec.leaving;
+        let missing = member.missing_since.filter(|_| !member.removed && !kept);
         missing.map(|since| since + self.settings.missing_grace)
     }
 
-    /// When the next missing member is given up. A ballot may rest on a member's grant, or
-    /// promote it, so that nobody is given up meanwhile.
-    pub(super) fn next_forgotten(&self) -> Option<Duration> {
-        let places = 0..self.members.len();
-        let next = places.filter_map(|place| self.forgotten_at(place)).min();
+    /// When the next missing member is to be removed. No member is removed during a ballot,
+    /// which may rely on the member's grant or promote it.
+    pub(super) fn next_removal(&self) -> Option<Duration> {
+        let indexes = 0..self.members.len();
+        let next = indexes.filter_map(|index| self.removal_due(index)).min();
         next.filter(|_| !self.replace.is_deposing())
     }
 
-    /// Gives up members that have been missing from the list for long enough.
-    pub(super) fn forget_missing(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if self.next_forgotten().is_none_or(|next| now < next) {
+    /// Removes members that have been missing from the list for the grace period.
+    pub(super) fn remove_missing(&mut self, now: Duration, out: &mut Vec<Action>) {
+        if self.next_removal().is_none_or(|next| now < next) {
             return;
         }
-        for place in 0..self.members.len() {
-            if self.forgotten_at(place).is_none_or(|at| now < at) {
+        for index in 0..self.members.len() {
+            if self.removal_due(index).is_none_or(|at| now < at) {
                 continue;
             }
-            let leads = Some(place) == self.replace.primary;
-            let member = &mut self.members[place];
+            let leads = Some(index) == self.replace.primary;
+            let member = &mut self.members[index];
             member.spec.leaving = true;
             if !leads {
-                member.gone = true;
-                member.view = None;
+                member.removed = true;
+                member.report = None;
             }
         }
-        self.note_members();
+        self.update_members();
         self.requeue(now, out);
     }
 }
--- a/src/decisions/group/message.rs
+++ b/src/decisions/group/message.rs
@@ -1,4 +1,4 @@
-//! What happens to a group, and what it asks to be done.
+//! Events that a group handles, and the actions that it asks for.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,14 +10,14 @@
 use crate::decisions::confirm::Outcome;
 use crate::decisions::position::Position;
 
-/// Where a statement may run.
+/// The member on which a statement may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Target {
     /// The primary.
     Primary,
-    /// The primary, seen not to be replaced after the statement arrived.
+    /// The primary, if it is seen not to have been replaced after the statement arrived.
     Strict,
-    /// A replica at most this old, or the primary.
+    /// A replica whose data is at most `max_age` old, or the primary.
     Replica { max_age: Duration },
 }
 
@@ -31,44 +31,44 @@
     }
 }
 
-/// A statement that asks for a member.
+/// A statement that needs a member to run on.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: u64,
     pub partner: Arc<str>,
     pub weight: u32,
     pub target: Target,
-    /// None: the session came without a token.
+    /// Position that the session must see; `None` if it came without a token.
     pub floor: Option<Position>,
-    /// False once the floor was found to lie beyond the primary's position.
+    /// False once the session's floor turned out to lie beyond the primary's position.
     pub believed: bool,
     pub arrived: Duration,
     pub deadline: Duration,
-    /// Time within which an answer is worth most.
+    /// Latency target, from the arrival.
     pub aim: Option<Duration>,
 }
 
 /// Why a statement was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
-    /// The wait would pass the deadline.
+    /// The expected wait exceeds the deadline.
     Overload,
     /// The primary is being replaced.
     Replacement,
-    /// The primary has left, and no member could take over.
+    /// The primary has left and no member can take over.
     NoSuccessor,
-    /// No majority of the group can be seen from here.
+    /// This box reaches no majority of the group.
     CutOff,
-    /// It did not run where it was sent, and may not be sent again.
+    /// The statement did not run on the member and may not be sent again.
     Retries,
-    /// Its workspace's limit is used up.
+    /// The workspace's limit is exhausted.
     Limit,
-    /// No member meets the session's floor and the read's staleness.
+    /// No member meets the session's floor and the read's age bound.
     Stale,
 }
 
 impl Reason {
-    /// One word for logs and metrics.
+    /// Returns the name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Reason::Overload => "overload",
@@ -82,7 +82,7 @@
     }
 }
 
-/// A refusal: not run, and when to come back.
+/// Refusal of a statement that was not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     pub reason: Reason,
@@ -90,15 +90,15 @@
     pub via: Via,
 }
 
-/// Which other box may do better.
+/// Another box that may be able to run the statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Via {
-    /// None that is known.
+    /// No such box is known.
     #[default]
     Nobody,
     /// Any other owner of the group.
     Owner,
-    /// The one of this name.
+    /// The box of this name.
     Named(Arc<str>),
 }
 
@@ -111,81 +111,61 @@
         }
     }
 
-    /// The wait would pass the deadline.
+    /// A refusal because the expected wait exceeds the deadline.
     pub fn overload(retry_after: Duration) -> Self {
         Self::new(Reason::Overload, retry_after)
     }
 }
 
-/// What happens to a group.
+/// An event for a group.
 #[derive(Clone, Debug)]
 pub enum Event {
+    /// Time has passed.
     Tick,
+    /// A request arrived.
     Arrived(Request),
-    /// The caller of a waiting request went away.
-    Withdrawn {
-        id: u64,
-    },
-    /// A member answered a statement that was sent to it after `began`.
+    /// The caller of a waiting request disconnected.
+    Withdrawn { id: u64 },
+    /// A member answered a statement.
     Answered {
         member: usize,
+        /// A moment before the statement was sent.
         began: Duration,
         position: Option<Position>,
-        /// Only the primary answers such a statement.
+        /// Whether only a primary answers such a statement.
         proves_primary: bool,
     },
-    /// A statement left its member.
-    SlotReleased {
-        member: usize,
-        took: Duration,
-    },
-    /// A statement was answered, and its transaction rests.
-    TransactionIdle {
-        member: usize,
-        took: Duration,
-    },
-    /// A resting transaction's next statement is sent.
-    TransactionResumed {
-        member: usize,
-    },
-    /// A resting transaction is given up.
-    IdleTransactionEnded {
-        member: usize,
-    },
-    /// A member's answer is not waited for any more.
-    AnswerTimedOut {
-        member: usize,
-        after: Duration,
-    },
-    /// A member takes no more connections.
-    ConnectionLimitReached {
-        member: usize,
-    },
-    /// A connection was not made in time.
-    ConnectTimedOut {
-        member: usize,
-    },
-    /// A connection could not be made or was lost.
-    ConnectionLost {
-        member: usize,
-    },
-    /// A member answered as if it were not what we take it for.
+    /// A statement freed its slot at a member.
+    SlotReleased { member: usize, took: Duration },
+    /// A statement was answered and its transaction is idle.
+    TransactionIdle { member: usize, took: Duration },
+    /// The next statement of an idle transaction is sent.
+    TransactionResumed { member: usize },
+    /// An idle transaction ended without another statement.
+    IdleTransactionEnded { member: usize },
+    /// A member did not answer in time.
+    AnswerTimedOut { member: usize, after: Duration },
+    /// A member refused a connection because of its connection limit.
+    ConnectionLimitReached { member: usize },
+    /// A connection was not established in time.
+    ConnectTimedOut { member: usize },
+    /// A connection was refused or lost.
+    ConnectionLost { member: usize },
+    /// The known state of the members may be outdated: probe all of them.
     ProbeAll,
-    /// Something speaks for a cut: members of other failure domains are looked at now.
+    /// The network may be partitioned: probe the members of other failure domains.
     ProbeOtherDomains,
-    /// A replica's log lacked a floor that it was believed to hold.
-    ReplicaBehind {
-        member: usize,
-    },
-    /// A write's answer came; it waits for confirmation.
+    /// A replica's log did not reach a floor that it was expected to hold.
+    ReplicaBehind { member: usize },
+    /// A write was answered and waits for confirmation.
     ConfirmWrite {
         id: u64,
         member: usize,
         position: Position,
         deadline: Duration,
     },
-    /// A read's answer came from the primary. It may be given out when the term
-    /// is seen not to be replaced after `since`, and a majority holds what it saw.
+    /// A read was answered by the primary. The answer may be passed on once the term is seen
+    /// not to have been replaced after `since`, and a majority holds what the read saw.
     ConfirmRead {
         id: u64,
         term: u64,
@@ -193,152 +173,121 @@
         position: Option<Position>,
         deadline: Duration,
     },
+    /// The outcome of a probe that was sent at `began`.
     Probed {
         member: usize,
         began: Duration,
         answer: Result<Status, MemberError>,
     },
+    /// The outcome of a fence.
     Fenced {
         member: usize,
         term: u64,
         answer: Result<Status, MemberError>,
     },
-    /// The outcome of a claim to the duty of promoting.
-    DutyClaimed {
-        won: bool,
-    },
-    /// Another box has taken that duty.
+    /// The outcome of a claim to the duty.
+    DutyClaimed { won: bool },
+    /// Another box has taken the duty.
     DutyTakenElsewhere,
-    /// Another box has fenced a majority: what was seen before counts no more.
+    /// Another box has fenced a majority: this box must give up its lease.
     RevokeLease,
     /// All other boxes have given up their leases for the ballot of this term.
-    LeasesRevoked {
-        term: u64,
-    },
-    /// Whether those who promote know of this box, so that it may use leases.
-    BoxListed {
-        listed: bool,
-    },
+    LeasesRevoked { term: u64 },
+    /// Whether the boxes that may promote know of this box, so that it may use the lease.
+    BoxListed { listed: bool },
+    /// The outcome of a promotion.
     Promoted {
         term: u64,
         answer: Result<Status, MemberError>,
     },
-    /// Another owner suspects the primary and asks what this one thinks.
+    /// Another owner suspects the primary and asks for this owner's opinion.
     OpinionRequested,
-    /// Another owner's view of the primary.
+    /// Another owner answered whether it suspects the primary.
     OpinionReceived {
         from: Arc<str>,
+        /// Whether that owner is in this box's failure domain.
         near: bool,
         suspects: bool,
     },
     /// A peer or the table names the primary of a term.
-    PrimaryAnnounced {
-        term: u64,
-        primary: Arc<str>,
-    },
+    PrimaryAnnounced { term: u64, primary: Arc<str> },
 }
 
-/// What a group asks to be done.
+/// An action that a group asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Run the request on this member, which leads or follows `term`.
+    /// Run a request on a member that leads or follows `term`.
     Assign {
         id: u64,
         member: usize,
         term: u64,
-        /// Whether the session's floor was possible.
+        /// False if the session's floor lies beyond the primary's position.
         believed: bool,
     },
-    Refuse {
-        id: u64,
-        refusal: Refusal,
-    },
-    Settle {
-        id: u64,
-        outcome: Outcome,
-    },
-    Probe {
-        member: usize,
-    },
-    /// Take the duty of promoting.
+    /// Refuse a request.
+    Refuse { id: u64, refusal: Refusal },
+    /// Pass on the outcome of a confirmation.
+    Settle { id: u64, outcome: Outcome },
+    /// Request a member's status.
+    Probe { member: usize },
+    /// Claim the duty.
     ClaimDuty,
-    /// Have the other boxes give up their leases; the ballot's term comes back with
-    /// [`Event::Revoked`] when all have.
-    RevokeLeases {
-        term: u64,
-    },
-    Fence {
-        member: usize,
-        term: u64,
-    },
-    /// Take back a fence that leads to nothing.
-    ReleaseFence {
-        member: usize,
-    },
-    Promote {
-        member: usize,
-        term: u64,
-    },
+    /// Ask the other boxes to give up their leases. Once all have, [`Event::LeasesRevoked`]
+    /// returns the ballot's term.
+    RevokeLeases { term: u64 },
+    /// Fence a member for a term.
+    Fence { member: usize, term: u64 },
+    /// Release a fence whose ballot failed.
+    ReleaseFence { member: usize },
+    /// Promote a member.
+    Promote { member: usize, term: u64 },
+    /// Order a member to follow the primary.
     Follow {
         member: usize,
         term: u64,
         primary: usize,
     },
+    /// Ask the other owners whether they suspect the primary.
     AskOpinions,
-    /// Record the primary in the table and tell the peers.
-    RecordPrimary {
-        term: u64,
-        primary: usize,
-    },
-    /// Something an operator may want to know.
+    /// Record the primary in the table and announce it to the peers.
+    RecordPrimary { term: u64, primary: usize },
+    /// Write a log entry.
     Log(Note),
 }
 
-/// What is worth a log line.
+/// A log entry about a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Note {
-    Suspected {
-        member: usize,
-    },
-    SuspicionCleared {
-        member: usize,
-    },
-    BallotStarted {
-        term: u64,
-    },
-    BallotLost {
-        term: u64,
-    },
-    PrimaryPromoted {
-        term: u64,
-        member: usize,
-    },
-    PrimaryAdopted {
-        term: u64,
-        member: usize,
-    },
-    /// A member's fence is taken back.
-    FenceReleased {
-        member: usize,
-    },
-    /// A leaving primary's time is counted. Its word has this age, where that is known.
+    /// A member is suspected.
+    Suspected { member: usize },
+    /// A member is no longer suspected.
+    SuspicionCleared { member: usize },
+    /// This owner began to fence members for a ballot.
+    BallotStarted { term: u64 },
+    /// This owner's ballot failed.
+    BallotLost { term: u64 },
+    /// This owner promoted a member.
+    PrimaryPromoted { term: u64, member: usize },
+    /// This owner learned of a primary that another box promoted.
+    PrimaryAdopted { term: u64, member: usize },
+    /// A member's fence is released.
+    FenceReleased { member: usize },
+    /// The primary is leaving.
     DrainStarted {
         member: usize,
+        /// Time since the departure was announced, if known.
         age: Option<Duration>,
-        /// Members that could take over.
+        /// Number of members that could take over.
         successors: usize,
     },
-    /// A leaving primary has had all its time.
+    /// The drain time of a leaving primary is over.
     DrainExpired {
         member: usize,
+        /// Time since the departure was announced, if known.
         age: Option<Duration>,
     },
-    /// A member's report can't be true and was not taken.
-    ImplausibleReport {
-        member: usize,
-    },
-    /// A member started again: nothing that was known of it holds.
-    Restarted {
-        member: usize,
-    },
+    /// A member's report is implausible and was ignored.
+    ImplausibleReport { member: usize },
+    /// A member restarted; what was known of it is void.
+    Restarted { member: usize },
 }
--- a/src/decisions/group/settings.rs
+++ b/src/decisions/group/settings.rs
@@ -1,58 +1,61 @@
-//! Settings of the decisions about a group.
+//! Settings of a group's decisions.
 
 use std::time::Duration;
 
 use crate::decisions::detect::baseline::Settings as DetectSettings;
 use crate::decisions::replace::Settings as ReplaceSettings;
 
-/// Settings of the decisions about a group.
+/// Settings of a group's decisions.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     pub replace: ReplaceSettings,
     pub detect: DetectSettings,
-    /// The period grows by this factor for members that are not the primary, and
-    /// again for owners that are not the first.
+    /// Factor on the probe period for members other than the primary, and again for
+    /// owners other than the first.
     pub secondary_period_factor: u32,
-    /// Time a read waits for a replica before it goes to the primary.
+    /// Time for which a read waits for a suitable replica before it goes to the primary.
     pub replica_wait: Duration,
-    /// Time that a leaving primary's statements get, at every owner, before another
-    /// is promoted; new writes wait meanwhile.
+    /// Least time from the announcement that a primary leaves to its replacement. Running
+    /// statements may end meanwhile; new writes wait, unless `serve_leaving` is set.
     pub drain_grace: Duration,
-    /// The same, at most: longer transactions are cut off.
+    /// Time after its announcement from which a leaving member is sent nothing more. A leaving
+    /// primary is then replaced even while statements run.
     pub drain_limit: Duration,
-    /// Least time between two probes of a member on behalf of waiting requests.
+    /// Least time between two probes of a member that are sent for waiting requests.
     pub probe_gap: Duration,
     /// Least time between two orders to a member to follow the primary.
     pub follow_gap: Duration,
-    /// Time that a refused caller is told to wait while no majority is in sight.
+    /// Delay proposed to a refused caller while this box sees no majority.
     pub cut_off_retry: Duration,
-    /// Guess of a statement's time before any was measured.
+    /// Assumed duration of a statement before any was measured.
     pub service_time: Duration,
-    /// Part of the lease that is not used: for clocks that differ and the way of an
-    /// answer out of the process.
+    /// Part of the lease that is not used. Covers differing clocks and the delay of an
+    /// answer on its way out of the process.
     pub lease_margin: Duration,
-    /// A leaving primary serves until another is about to take over.
+    /// Whether a leaving primary serves until another member is about to be promoted.
     pub serve_leaving: bool,
-    /// A member that is missing from the list is still one for this long: lists lag,
-    /// and lose members that live while their keeper is away.
+    /// Time for which a member that is missing from the list stays in the group: lists
+    /// lag, and entries of live members may lapse while the store is away.
     pub missing_grace: Duration,
-    /// What a read on the primary costs more than on a replica, as a wait; none where
-    /// reads go there only when no replica fits.
+    /// Added to the primary's expected wait when it competes with replicas for a read.
+    /// `None`: the primary serves reads only if no replica is suitable.
     pub primary_cost: Option<Duration>,
-    /// Requests wait for a primary until their time is up, whatever is expected.
+    /// Whether requests wait for a primary until their deadline, even if the replacement
+    /// is expected to take longer.
     pub wait_until_deadline: bool,
-    /// Connections kept open without use, as a percentage of this box's share.
+    /// Idle connections kept open, as a percentage of this box's share.
     pub idle_connections_percent: u32,
-    /// Statements at a member at once, from all boxes, for each of its slots; none
-    /// where connections alone bound them.
+    /// Concurrent statements per slot of a member, over all boxes. `None`: only the number
+    /// of connections limits them.
     pub statements_per_slot: Option<u32>,
-    /// A transaction that rests between its statements takes no turn, only a connection.
+    /// Whether a transaction that is idle between statements frees its queue slot and keeps
+    /// only its connection.
     pub idle_frees_slot: bool,
-    /// Requests that can't be answered within their aim wait behind the others, and refused
-    /// callers are told to come back one after the other.
+    /// Whether requests that can't meet their latency target wait behind the others instead
+    /// of being refused. Refused callers then get staggered retry times.
     pub serve_late: bool,
-    /// The loss of a whole failure domain is to be borne: where a member of another one is
-    /// silent, all of those are looked at.
+    /// Whether the loss of a whole failure domain must be tolerated: if a member of another
+    /// domain is silent, the members of all other domains are probed.
     pub domain_loss: bool,
 }
 
