--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -386,7 +386,7 @@
             } => self.record_answer(member, began, position, proves_primary, now, &mut out),
             Event::SlotReleased { member, took } => self.release_slot(member, took, now, &mut out),
             Event::TransactionIdle { member, took } => {
-                self.idle_transaction(member, took, now, &mut out)
+                self.set_transaction_idle(member, took, now, &mut out)
             }
             Event::TransactionResumed { member } => self.members[member].queue.resume(),
             Event::IdleTransactionEnded { member } => {
@@ -523,12 +523,12 @@
                 _ => due,
             }
         });
-        let ballot = match self.settings.wait_until_deadline {
+        let margin = match self.settings.wait_until_deadline {
             true => dispatch::REFUSAL_MARGIN,
             false => self.settings.replace.ballot,
         };
         let for_primary = self.waiting.for_primary.values();
-        let for_primary = for_primary.map(|request| request.deadline.saturating_sub(ballot));
+        let for_primary = for_primary.map(|request| request.deadline.saturating_sub(margin));
         let for_position = self.waiting.for_position.values().map(|r| r.deadline);
         let for_replica = self.waiting.for_replica.values().map(|(_, until)| *until);
         let queued = self.members.iter().filter_map(|m| m.queue.next_expiry());
--- a/src/decisions/group/dispatch.rs
+++ b/src/decisions/group/dispatch.rs
@@ -401,7 +401,7 @@
         self.fill_slot(member, next, now, out);
     }
 
-    pub(super) fn idle_transaction(
+    pub(super) fn set_transaction_idle(
         &mut self,
         member: usize,
         took: Duration,
--- a/src/decisions/group/timers.rs
+++ b/src/decisions/group/timers.rs
@@ -63,20 +63,21 @@
         }
         let stagger = self.settings.replace.stagger * self.replace.rank();
         let served = self.settings.serve_leaving;
-        let idle = served || self.members[primary].queue.running() == 0 && self.confirm.is_empty();
-        let due = departure.due(self.settings.drain_grace) + stagger;
+        let unused =
+            served || self.members[primary].queue.running() == 0 && self.confirm.is_empty();
+        let earliest = departure.due(self.settings.drain_grace) + stagger;
         let limit = self.members[primary].drain_time(&self.settings);
-        let forced = departure.due(limit) + stagger;
-        let next = [due, forced].into_iter().find(|moment| now < *moment);
-        let over = (idle && now >= due) || now >= forced;
-        self.next_handover_check = match over {
+        let latest = departure.due(limit) + stagger;
+        let next = [earliest, latest].into_iter().find(|moment| now < *moment);
+        let is_due = (unused && now >= earliest) || now >= latest;
+        self.next_handover_check = match is_due {
             true => self
                 .replace
                 .is_steady()
                 .then_some(now + HANDOVER_CHECK_INTERVAL),
             false => next,
         };
-        over
+        is_due
     }
 
     pub(super) fn update_suspicions(&mut self, now: Duration, out: &mut Vec<Action>) {
