--- a/src/node/driver/acting.rs
+++ b/src/node/driver/acting.rs
@@ -25,14 +25,14 @@
                     term,
                     primary: owned.group.primary() == Some(member),
                     believed,
-                    patience: owned.group.patience(member, self.context.now()),
-                    rests: self.settings.rests,
+                    patience: owned.group.read_timeout(member, self.context.now()),
+                    rests: self.settings.idle_frees_slot,
                     health: owned.health.subscribe(),
                 };
                 let reply = self.grants.remove(&request);
                 let gone = reply.is_none_or(|(_, reply)| reply.send(Ok(grant)).is_err());
-                let took = self.settings.service;
-                return gone.then_some(Event::Release { member, took });
+                let took = self.settings.service_time;
+                return gone.then_some(Event::SlotReleased { member, took });
             }
             Action::Refuse {
                 id: request,
@@ -51,12 +51,12 @@
                 }
             }
             Action::Probe { member } => self.probe(id, owned, member),
-            Action::Revoke { term } => self.revoke(id, owned, term),
+            Action::RevokeLeases { term } => self.revoke(id, owned, term),
             // Its process may end before the ballot, and leave fences behind.
-            Action::Claim if *self.context.leaving.borrow() => {
-                return Some(Event::Claimed { won: false });
+            Action::ClaimDuty if *self.context.leaving.borrow() => {
+                return Some(Event::DutyClaimed { won: false });
             }
-            Action::Claim => {
+            Action::ClaimDuty => {
                 let context = self.context.clone();
                 let group = id.clone();
                 let incarnation = owned.incarnation;
@@ -69,7 +69,7 @@
                         group: group.clone(),
                         claim,
                     });
-                    context.tell(&group, incarnation, Event::Claimed { won });
+                    context.tell(&group, incarnation, Event::DutyClaimed { won });
                 });
             }
             Action::Fence { member, term } => {
@@ -95,12 +95,12 @@
                     }
                 });
             }
-            Action::Release { member } => {
+            Action::ReleaseFence { member } => {
                 let border = owned.members[member].clone();
                 self.spawn(id, async move {
                     // Whether it worked shows in the next report.
                     let _ = border.release().await;
-                    Event::Look
+                    Event::ProbeAll
                 });
             }
             Action::Promote { member, term } => {
@@ -130,11 +130,11 @@
                 let address = owned.group.plan.members[primary].address.clone();
                 self.spawn(id, async move {
                     let _ = border.follow(term, &address).await;
-                    Event::Look
+                    Event::ProbeAll
                 });
             }
-            Action::Ask => self.ask_peers(id, owned),
-            Action::Record { term, primary } => {
+            Action::AskOpinions => self.ask_peers(id, owned),
+            Action::RecordPrimary { term, primary } => {
                 let name = owned.group.plan.members[primary].name.clone();
                 self.context.metrics.replacements.add(1, &[]);
                 if self.context.settings.duty {
@@ -144,7 +144,7 @@
                 let record = peers::record(self.context.clone(), id.clone(), term, name);
                 tokio::task::spawn_local(record);
             }
-            Action::Note(note) => self.note(id, &owned.group, &note),
+            Action::Log(note) => self.note(id, &owned.group, &note),
         }
         None
     }
@@ -169,7 +169,7 @@
         let began = self.context.now();
         self.spawn(id, async move {
             let answer = border.status().await;
-            Event::Status {
+            Event::Probed {
                 member,
                 began,
                 answer,
@@ -192,7 +192,7 @@
             let incarnation = owned.incarnation;
             tokio::task::spawn_local(async move {
                 if let Some(suspects) = asked.await {
-                    let event = Event::Opinion {
+                    let event = Event::OpinionReceived {
                         from,
                         near,
                         suspects,
@@ -227,7 +227,7 @@
             let listed = context.table.head().await.is_ok();
             let given_up = futures::future::join_all(asked).await;
             if listed && given_up.into_iter().all(|done| done) {
-                context.tell(&group, incarnation, Event::Revoked { term });
+                context.tell(&group, incarnation, Event::LeasesRevoked { term });
             }
         });
     }
@@ -241,17 +241,17 @@
                 &events::SUSPECTED,
                 &[("group", id), ("member", &name(*member))],
             ),
-            Note::Trusted { member } => events::emit(
+            Note::SuspicionCleared { member } => events::emit(
                 log,
                 &events::TRUSTED,
                 &[("group", id), ("member", &name(*member))],
             ),
-            Note::Released { member } => events::emit(
+            Note::FenceReleased { member } => events::emit(
                 log,
                 &events::RELEASED,
                 &[("group", id), ("member", &name(*member))],
             ),
-            Note::Nonsense { member } => events::emit(
+            Note::ImplausibleReport { member } => events::emit(
                 log,
                 &events::NONSENSE,
                 &[("group", id), ("member", &name(*member))],
@@ -261,7 +261,7 @@
                 &events::RESTARTED,
                 &[("group", id), ("member", &name(*member))],
             ),
-            Note::LeaveCounted {
+            Note::DrainStarted {
                 member,
                 age,
                 successors,
@@ -275,7 +275,7 @@
                     ("successors", successors),
                 ],
             ),
-            Note::LeaveOver { member, age } => events::emit(
+            Note::DrainExpired { member, age } => events::emit(
                 log,
                 &events::LEAVE_OVER,
                 &[
@@ -284,18 +284,18 @@
                     ("ago_ms", &in_ms(*age)),
                 ],
             ),
-            Note::Fencing { term } => {
+            Note::BallotStarted { term } => {
                 events::emit(log, &events::FENCING, &[("group", id), ("term", term)]);
             }
-            Note::Lost { term } => {
+            Note::BallotLost { term } => {
                 events::emit(log, &events::BALLOT_LOST, &[("group", id), ("term", term)]);
             }
-            Note::Won { term, member } => events::emit(
+            Note::PrimaryPromoted { term, member } => events::emit(
                 log,
                 &events::PROMOTED,
                 &[("group", id), ("term", term), ("member", &name(*member))],
             ),
-            Note::Adopted { term, member } => events::emit(
+            Note::PrimaryAdopted { term, member } => events::emit(
                 log,
                 &events::ADOPTED,
                 &[("group", id), ("term", term), ("member", &name(*member))],
--- a/src/node/driver/owning.rs
+++ b/src/node/driver/owning.rs
@@ -69,7 +69,7 @@
         self.settles
             .retain(|_, (incarnation, _)| live.contains(incarnation));
         let addresses = self.groups.values().flat_map(|owned| {
-            let share = owned.group.kept_open();
+            let share = owned.group.idle_connections();
             let members = owned.group.plan.members.iter();
             members.map(move |member| (member.address.sql.clone(), share))
         });
@@ -106,7 +106,7 @@
         self.groups.insert(id.clone(), owned);
         self.join_new(&id);
         let listed = self.is_listed();
-        self.handle(&id, Event::Listed { listed });
+        self.handle(&id, Event::BoxListed { listed });
     }
 
     /// Makes the borders of members that have none yet.
@@ -159,17 +159,17 @@
         let listed = self.is_listed();
         let groups: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for group in groups {
-            self.handle(&group, Event::Listed { listed });
+            self.handle(&group, Event::BoxListed { listed });
         }
     }
 
     /// Takes another bound for members that leave.
     pub(super) fn set_leave_most(&mut self, most: Duration) {
-        self.settings.leave_most = most;
+        self.settings.drain_limit = most;
         let groups: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for id in groups {
             if let Some(owned) = self.groups.get_mut(&id) {
-                owned.group.set_leave_most(most);
+                owned.group.set_drain_limit(most);
             }
             // A shorter bound may be over by now.
             self.handle(&id, Event::Tick);
@@ -196,14 +196,14 @@
         let taken = duties.filter(|(group, duty)| foreign(group, duty));
         let taken: Vec<Arc<str>> = taken.map(|(group, _)| group.clone()).collect();
         for group in taken {
-            self.handle(&group, Event::DutyTaken);
+            self.handle(&group, Event::DutyTakenElsewhere);
         }
     }
 
     pub(super) fn tell_primaries(&mut self) {
         let primaries = self.snapshot.primaries.clone();
         for (id, record) in primaries.iter() {
-            let event = Event::News {
+            let event = Event::PrimaryAnnounced {
                 term: record.term,
                 primary: record.member.clone(),
             };
--- a/tests/unit/fake.rs
+++ b/tests/unit/fake.rs
@@ -364,7 +364,7 @@
         for owner in 0..OWNERS {
             if !self.is_cut(owner, member) {
                 let at = self.now + self.delay();
-                let event = Event::Broken { member };
+                let event = Event::ConnectionLost { member };
                 self.schedule(at, Delivery::ToOwner { owner, event });
             }
         }
@@ -472,7 +472,7 @@
             self.now,
             Delivery::ToOwner {
                 owner,
-                event: Event::Arrive(request),
+                event: Event::Arrived(request),
             },
         );
     }
@@ -514,7 +514,7 @@
             } => self.handle_answer(owner, id, began, answer),
             Delivery::Wake(owner) => {
                 self.notify(owner, Event::Tick);
-                let next = self.owners[owner].wake().max(self.now + ms(1));
+                let next = self.owners[owner].next_tick().max(self.now + ms(1));
                 self.schedule(next.min(self.now + ms(20)), Delivery::Wake(owner));
             }
             Delivery::Replicate(member) => {
@@ -564,10 +564,10 @@
                 self.call(owner, member, Call::Follow(term, primary));
             }
             // These members keep their fences and need no claim.
-            Action::Release { .. } | Action::Claim | Action::Revoke { .. } => {}
-            Action::Ask => self.ask_peers(owner),
-            Action::Record { .. } => self.counts.failovers += 1,
-            Action::Note(_) => {}
+            Action::ReleaseFence { .. } | Action::ClaimDuty | Action::RevokeLeases { .. } => {}
+            Action::AskOpinions => self.ask_peers(owner),
+            Action::RecordPrimary { .. } => self.counts.failovers += 1,
+            Action::Log(_) => {}
         }
     }
 
@@ -578,14 +578,14 @@
             if self.domains_cut(owner, other) || paused || self.drops_message() {
                 continue;
             }
-            let event = Event::Opinion {
+            let event = Event::OpinionReceived {
                 from: format!("b{other}").into(),
                 near: false,
-                suspects: self.owners[other].suspects(term),
+                suspects: self.owners[other].suspects_primary(term),
             };
             let at = self.now + self.delay() + self.delay();
             self.schedule(at, Delivery::ToOwner { owner, event });
-            let event = Event::Asked;
+            let event = Event::OpinionRequested;
             self.schedule(
                 self.now,
                 Delivery::ToOwner {
@@ -824,11 +824,11 @@
                 member: statement.member,
                 began,
                 position: Some(ran.position),
-                led: statement.value.is_some(),
+                proves_primary: statement.value.is_some(),
             };
             self.notify(owner, answered);
         }
-        let release = Event::Release {
+        let release = Event::SlotReleased {
             member: statement.member,
             took: self.now - began,
         };
@@ -841,7 +841,7 @@
         let deadline = self.now + ms(2_000);
         match (statement.value, statement.target) {
             (Some(_), _) => {
-                let event = Event::Wrote {
+                let event = Event::ConfirmWrite {
                     id,
                     member: statement.member,
                     position: ran.position,
@@ -861,7 +861,7 @@
     }
 
     fn verify(&mut self, owner: usize, id: u64, statement: &Statement, since: Duration) {
-        let event = Event::Verify {
+        let event = Event::ConfirmRead {
             id,
             term: statement.term,
             since,
@@ -941,11 +941,11 @@
             answer,
         },
         Call::Promote(term) => Event::Promoted { term, answer },
-        Call::Status => Event::Status {
+        Call::Status => Event::Probed {
             member,
             began,
             answer,
         },
-        Call::Follow(..) | Call::Run(_) => Event::Look,
+        Call::Follow(..) | Call::Run(_) => Event::ProbeAll,
     }
 }
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -96,7 +96,7 @@
             actions: Vec::new(),
         };
         fixture.group.set_rank(rank, 1);
-        fixture.handle(Event::Listed { listed: true });
+        fixture.handle(Event::BoxListed { listed: true });
         fixture
     }
 
@@ -107,7 +107,7 @@
     pub fn report(&mut self, member: usize, status: Status) {
         let began = self.now;
         self.now += ms(1);
-        self.handle(Event::Status {
+        self.handle(Event::Probed {
             member,
             began,
             answer: Ok(status),
@@ -134,7 +134,7 @@
     pub fn record_write(&mut self, id: u64) {
         let position = Position::new(1, 11);
         let deadline = self.now + ms(700);
-        self.handle(Event::Wrote {
+        self.handle(Event::ConfirmWrite {
             id,
             member: 0,
             position,
@@ -145,7 +145,7 @@
     /// Submits a read of at most `max_age`, due within 700 ms.
     pub fn submit_read(&mut self, id: u64, max_age: Duration) {
         let now = self.now;
-        self.handle(Event::Arrive(Request {
+        self.handle(Event::Arrived(Request {
             id,
             partner: "p".into(),
             weight: 1,
@@ -161,7 +161,7 @@
     /// Submits a write due within 700 ms.
     pub fn submit_write(&mut self, id: u64) {
         let now = self.now;
-        self.handle(Event::Arrive(Request {
+        self.handle(Event::Arrived(Request {
             id,
             partner: "p".into(),
             weight: 1,
@@ -187,9 +187,9 @@
 
     /// Breaks the primary, lets the other boxes agree, and wins the duty.
     pub fn start_ballot(&mut self) {
-        self.handle(Event::Broken { member: 0 });
+        self.handle(Event::ConnectionLost { member: 0 });
         for name in ["b1", "b2"] {
-            self.handle(Event::Opinion {
+            self.handle(Event::OpinionReceived {
                 from: name.into(),
                 near: false,
                 suspects: true,
@@ -198,7 +198,7 @@
         self.report(1, status(Role::Replica, 1, 1, 10));
         self.report(2, status(Role::Replica, 1, 1, 10));
         self.advance(ms(20));
-        self.handle(Event::Claimed { won: true });
+        self.handle(Event::DutyClaimed { won: true });
     }
 
     /// Returns the ballot's term, as named in the latest fence.
@@ -266,7 +266,7 @@
             member: 0,
             began,
             position: Some(Position::new(1, 11 + round)),
-            led: true,
+            proves_primary: true,
         });
         fixture.now = now + ms(50);
         let began = fixture.now;
@@ -274,7 +274,7 @@
             member: 1,
             began,
             position: Some(Position::new(1, 11 + round)),
-            led: false,
+            proves_primary: false,
         });
     }
     fixture.record_write(1);
@@ -294,7 +294,7 @@
     expect_that!(fixture.outcome(1), none());
     // Later reports don't confirm the write or a read either.
     let now = fixture.now;
-    fixture.handle(Event::Verify {
+    fixture.handle(Event::ConfirmRead {
         id: 2,
         term: 1,
         since: now,
@@ -329,7 +329,7 @@
             member: 1,
             began,
             position: Some(Position::new(1, 10)),
-            led: false,
+            proves_primary: false,
         });
     }
     fixture.record_write(1);
@@ -339,7 +339,7 @@
 #[gtest]
 fn a_box_that_is_not_listed_uses_no_lease() {
     let mut fixture = Fixture::new(0);
-    fixture.handle(Event::Listed { listed: false });
+    fixture.handle(Event::BoxListed { listed: false });
     fixture.record_write(1);
     expect_that!(fixture.outcome(1), none());
 }
@@ -351,7 +351,7 @@
     fixture.grant_fence(1, 12);
     fixture.grant_fence(2, 10);
     expect_that!(
-        fixture.count_actions(|a| matches!(a, Action::Revoke { .. })),
+        fixture.count_actions(|a| matches!(a, Action::RevokeLeases { .. })),
         eq(1)
     );
     expect_that!(fixture.count_actions(promotes), eq(0));
@@ -372,7 +372,7 @@
     fixture.grant_fence(1, 10);
     fixture.grant_fence(2, 12);
     let term = fixture.ballot_term();
-    fixture.handle(Event::Revoked { term });
+    fixture.handle(Event::LeasesRevoked { term });
     expect_that!(
         fixture.actions,
         contains(eq(&Action::Promote { member: 2, term }))
@@ -393,7 +393,7 @@
     fixture.advance(ms(2_000));
     expect_that!(fixture.count_actions(promotes), eq(0));
     expect_that!(
-        fixture.count_actions(|a| matches!(a, Action::Note(Note::Lost { .. }))),
+        fixture.count_actions(|a| matches!(a, Action::Log(Note::BallotLost { .. }))),
         eq(1)
     );
 }
@@ -420,7 +420,7 @@
 #[gtest]
 fn revoking_a_lease_discards_earlier_observations() {
     let mut fixture = Fixture::new(0);
-    fixture.handle(Event::Revoke);
+    fixture.handle(Event::RevokeLease);
     fixture.record_write(1);
     expect_that!(fixture.outcome(1), none());
 }
@@ -432,7 +432,7 @@
         let mut fixture = Fixture::new(rank);
         fixture.start_ballot();
         fixture.advance(ms(1_200));
-        fixture.handle(Event::Claimed { won: true });
+        fixture.handle(Event::DutyClaimed { won: true });
         terms.push(fixture.ballot_term());
     }
     terms.dedup();
@@ -442,8 +442,8 @@
 #[gtest]
 fn a_box_that_lost_the_claim_waits_for_the_winner() {
     let mut fixture = Fixture::new(0);
-    fixture.handle(Event::Broken { member: 0 });
-    fixture.handle(Event::Opinion {
+    fixture.handle(Event::ConnectionLost { member: 0 });
+    fixture.handle(Event::OpinionReceived {
         from: "b1".into(),
         near: false,
         suspects: true,
@@ -451,10 +451,10 @@
     fixture.report(1, status(Role::Replica, 1, 1, 10));
     fixture.report(2, status(Role::Replica, 1, 1, 10));
     fixture.advance(ms(20));
-    expect_that!(fixture.count_actions(|a| *a == Action::Claim), eq(1));
-    fixture.handle(Event::Claimed { won: false });
+    expect_that!(fixture.count_actions(|a| *a == Action::ClaimDuty), eq(1));
+    fixture.handle(Event::DutyClaimed { won: false });
     fixture.advance(ms(1_000));
-    expect_that!(fixture.count_actions(|a| *a == Action::Claim), eq(1));
+    expect_that!(fixture.count_actions(|a| *a == Action::ClaimDuty), eq(1));
     expect_that!(
         fixture.count_actions(|a| matches!(a, Action::Fence { .. })),
         eq(0)
@@ -464,9 +464,9 @@
 #[gtest]
 fn a_primary_that_most_boxes_reach_is_not_replaced_and_requests_are_sent_via_them() {
     let mut fixture = Fixture::new(0);
-    fixture.handle(Event::Broken { member: 0 });
+    fixture.handle(Event::ConnectionLost { member: 0 });
     for (name, suspects) in [("b1", false), ("b2", false), ("b3", true)] {
-        fixture.handle(Event::Opinion {
+        fixture.handle(Event::OpinionReceived {
             from: name.into(),
             near: false,
             suspects,
@@ -483,7 +483,7 @@
     expect_that!(refusal.reason, eq(Reason::CutOff));
     expect_that!(refusal.via, eq(&Via::Named("b1".into())));
     fixture.advance(ms(500));
-    expect_that!(fixture.count_actions(|a| *a == Action::Claim), eq(0));
+    expect_that!(fixture.count_actions(|a| *a == Action::ClaimDuty), eq(0));
 }
 
 /// Runs a ballot that only the first replica grants.
@@ -516,7 +516,7 @@
     }
     expect_that!(
         fixture.actions,
-        contains(eq(&Action::Release { member: 1 }))
+        contains(eq(&Action::ReleaseFence { member: 1 }))
     );
 }
 
@@ -533,13 +533,13 @@
         fixture.report(1, status(Role::Replica, 1, fence, 10));
     }
     expect_that!(
-        fixture.count_actions(|a| matches!(a, Action::Release { .. })),
+        fixture.count_actions(|a| matches!(a, Action::ReleaseFence { .. })),
         eq(0)
     );
     fixture.record_write(1);
     expect_that!(fixture.outcome(1), none());
     // Only another ballot can end the fences.
-    expect_that!(fixture.count_actions(|a| *a == Action::Claim), gt(1));
+    expect_that!(fixture.count_actions(|a| *a == Action::ClaimDuty), gt(1));
 }
 
 /// The list entry of a member beyond a partition lapses although the member may lead there.
@@ -557,7 +557,7 @@
         fixture.report(1, status(Role::Replica, 1, fence, 10));
     }
     expect_that!(
-        fixture.count_actions(|a| matches!(a, Action::Release { .. })),
+        fixture.count_actions(|a| matches!(a, Action::ReleaseFence { .. })),
         eq(0)
     );
 }
@@ -573,7 +573,7 @@
     }
     expect_that!(
         fixture.actions,
-        contains(eq(&Action::Release { member: 1 }))
+        contains(eq(&Action::ReleaseFence { member: 1 }))
     );
     expect_that!(
         fixture.count_actions(|a| matches!(a, Action::Fence { .. })),
@@ -599,11 +599,11 @@
     let mut fixture = Fixture::new(0);
     fixture.report(1, status(Role::Primary, 2, 2, 10));
     fixture.report(0, status(Role::Primary, 1, 1, 14));
-    fixture.handle(Event::Broken { member: 1 });
+    fixture.handle(Event::ConnectionLost { member: 1 });
     // Waits for the cooldown after the last failover.
     fixture.advance(ms(1_200));
     for name in ["b1", "b2"] {
-        fixture.handle(Event::Opinion {
+        fixture.handle(Event::OpinionReceived {
             from: name.into(),
             near: false,
             suspects: true,
@@ -612,11 +612,11 @@
     fixture.report(0, status(Role::Replica, 1, 1, 14));
     fixture.report(2, status(Role::Replica, 1, 1, 10));
     fixture.advance(ms(20));
-    fixture.handle(Event::Claimed { won: true });
+    fixture.handle(Event::DutyClaimed { won: true });
     let term = fixture.ballot_term();
     fixture.grant_fence(0, 14);
     fixture.grant_fence(2, 10);
-    fixture.handle(Event::Revoked { term });
+    fixture.handle(Event::LeasesRevoked { term });
     expect_that!(
         fixture.actions,
         contains(eq(&Action::Promote { member: 2, term }))
@@ -644,13 +644,13 @@
     let now = fixture.now;
     fixture.group.set_plan(plan(members), now);
     fixture.advance(ms(200));
-    fixture.handle(Event::Claimed { won: true });
+    fixture.handle(Event::DutyClaimed { won: true });
     fixture.advance(ms(60));
     fixture.grant_fence(0, 12);
     fixture.grant_fence(1, 12);
     fixture.grant_fence(2, 11);
     let term = fixture.ballot_term();
-    fixture.handle(Event::Revoked { term });
+    fixture.handle(Event::LeasesRevoked { term });
     expect_that!(
         fixture.actions,
         contains(eq(&Action::Promote { member: 2, term }))
@@ -687,10 +687,10 @@
     let running = |fixture: &Fixture| fixture.count_actions(|a| matches!(a, Action::Assign { .. }));
     let before = running(&fixture);
     for id in 10 + before as u64..20 {
-        fixture.handle(Event::Withdraw { id });
+        fixture.handle(Event::Withdrawn { id });
     }
     let took = ms(10);
-    fixture.handle(Event::Release { member: 0, took });
+    fixture.handle(Event::SlotReleased { member: 0, took });
     expect_that!(running(&fixture), eq(before));
 }
 
@@ -700,7 +700,7 @@
 fn a_primary_without_a_majority_serves_reads_within_their_age_bound() {
     let mut fixture = Fixture::new(0);
     for member in [1, 2] {
-        fixture.handle(Event::Broken { member });
+        fixture.handle(Event::ConnectionLost { member });
     }
     fixture.advance(ms(900));
     fixture.report(0, status(Role::Primary, 1, 1, 11));
@@ -731,9 +731,9 @@
 fn the_connection_limit_of_a_full_member_drops_and_slowly_recovers() {
     let mut fixture = Fixture::new(0);
     fixture.submit_write(1);
-    fixture.handle(Event::Full { member: 0 });
+    fixture.handle(Event::ConnectionLimitReached { member: 0 });
     let took = ms(10);
-    fixture.handle(Event::Release { member: 0, took });
+    fixture.handle(Event::SlotReleased { member: 0, took });
     fixture.submit_write(2);
     let assigned = |fixture: &Fixture, id: u64| {
         fixture.count_actions(|a| matches!(a, Action::Assign { id: found, .. } if *found == id))
@@ -757,7 +757,7 @@
         fixture.now += ms(100);
         let began = fixture.now;
         for member in 0..3 {
-            fixture.handle(Event::Status {
+            fixture.handle(Event::Probed {
                 member,
                 began,
                 answer: Err(MemberError::Busy),
@@ -792,14 +792,14 @@
     };
     // The entry may only have lapsed while the table was unreachable.
     report_until(&mut fixture, ms(2_800));
-    expect_that!(fixture.count_actions(|a| *a == Action::Claim), eq(0));
+    expect_that!(fixture.count_actions(|a| *a == Action::ClaimDuty), eq(0));
     fixture.submit_write(1);
     expect_that!(
         fixture.count_actions(|a| matches!(a, Action::Assign { id: 1, .. })),
         eq(1)
     );
     report_until(&mut fixture, ms(3_300));
-    expect_that!(fixture.count_actions(|a| *a == Action::Claim), gt(0));
+    expect_that!(fixture.count_actions(|a| *a == Action::ClaimDuty), gt(0));
     // No member takes over. The removed member serves for 7 s without an announcement.
     report_until(&mut fixture, ms(5_000));
     fixture.submit_write(2);
@@ -816,12 +816,12 @@
     let mut group = Group::new(plan(members), "d0".into(), 0, settings(), 1, ms(0));
     let mut now = ms(0);
     group.handle(Event::Tick, now);
-    expect_that!(group.reaches(now), none());
+    expect_that!(group.reaches_majority(now), none());
     while now < ms(3_000) {
         now += ms(50);
         let answer = Ok(status(Role::Replica, 1, 1, 10));
         group.handle(
-            Event::Status {
+            Event::Probed {
                 member: 0,
                 began: now - ms(1),
                 answer,
@@ -829,10 +829,10 @@
             now,
         );
         for member in 1..3 {
-            group.handle(Event::Unreached { member }, now);
+            group.handle(Event::ConnectTimedOut { member }, now);
         }
     }
-    expect_that!(group.reaches(now), some(eq(false)));
+    expect_that!(group.reaches_majority(now), some(eq(false)));
 }
 
 /// Guards against boxes that can't reach the store fencing against each other.
@@ -863,11 +863,11 @@
         }
     };
     report_for(&mut fixture, ms(1_500));
-    expect_that!(fixture.count_actions(|a| *a == Action::Claim), eq(1));
+    expect_that!(fixture.count_actions(|a| *a == Action::ClaimDuty), eq(1));
     // The other ballot has failed.
     report_for(&mut fixture, ms(1_000));
-    fixture.handle(Event::Claimed { won: true });
-    expect_that!(fixture.count_actions(|a| *a == Action::Claim), eq(2));
+    fixture.handle(Event::DutyClaimed { won: true });
+    expect_that!(fixture.count_actions(|a| *a == Action::ClaimDuty), eq(2));
     expect_that!(
         fixture.count_actions(|a| matches!(a, Action::Fence { .. })),
         gt(fences)
@@ -884,7 +884,7 @@
     fixture.grant_fence(1, 12);
     fixture.grant_fence(2, 10);
     let term = fixture.ballot_term();
-    fixture.handle(Event::Revoked { term });
+    fixture.handle(Event::LeasesRevoked { term });
     expect_that!(fixture.count_actions(promotes), eq(1));
     fixture.report(1, status(Role::Primary, 2, 2, 12));
     let follows = |fixture: &Fixture, i: usize| {
@@ -895,7 +895,7 @@
     expect_that!(follows(&fixture, 0), eq(1));
     expect_that!(follows(&fixture, 2), eq(1));
     expect_that!(
-        fixture.count_actions(|a| matches!(a, Action::Note(Note::Won { .. }))),
+        fixture.count_actions(|a| matches!(a, Action::Log(Note::PrimaryPromoted { .. }))),
         eq(1)
     );
     // The late answer to the promotion has no further effect.
--- a/tests/unit/orders.rs
+++ b/tests/unit/orders.rs
@@ -164,7 +164,10 @@
             orders: Vec::new(),
         };
         for owner in 0..BOXES {
-            world.schedule(ms(1), Step::Deliver(owner, Event::Listed { listed: true }));
+            world.schedule(
+                ms(1),
+                Step::Deliver(owner, Event::BoxListed { listed: true }),
+            );
         }
         for crash in 0..3 {
             let at = ms(world.rng.random_range(1_000..3_000) + crash * 5_500);
@@ -208,7 +211,7 @@
         for action in actions {
             self.apply_action(owner, action);
         }
-        let wake = self.boxes[owner].wake().saturating_sub(self.now);
+        let wake = self.boxes[owner].next_tick().saturating_sub(self.now);
         self.schedule(wake.clamp(ms(5), ms(100)), Step::Wake(owner));
     }
 
@@ -224,9 +227,9 @@
                 let bid = self.boxes[owner].bid(term);
                 self.send(Step::Fence { owner, member, bid });
             }
-            Action::Release { member } => self.send(Step::ReleaseFence { member }),
+            Action::ReleaseFence { member } => self.send(Step::ReleaseFence { member }),
             Action::Follow { member, term, .. } => self.send(Step::Follow { member, term }),
-            Action::Claim => self.claim(owner),
+            Action::ClaimDuty => self.claim(owner),
             Action::Promote { member, term } => {
                 let claim = self.claims[owner].clone().expect("the duty was claimed");
                 let generation = claim.generation(&self.boxes[owner].ballot());
@@ -238,7 +241,7 @@
                     claim,
                 });
             }
-            Action::Revoke { term } => {
+            Action::RevokeLeases { term } => {
                 let unconfirmed = self.claims[owner]
                     .as_ref()
                     .is_some_and(|claim| claim.unconfirmed);
@@ -252,12 +255,12 @@
                     }),
                 }
             }
-            Action::Ask => {
+            Action::AskOpinions => {
                 let term = self.boxes[owner].term();
-                let event = Event::Opinion {
+                let event = Event::OpinionReceived {
                     from: "other".into(),
                     near: false,
-                    suspects: self.boxes[1 - owner].suspects(term),
+                    suspects: self.boxes[1 - owner].suspects_primary(term),
                 };
                 self.send(Step::Deliver(owner, event));
             }
@@ -306,12 +309,12 @@
     fn complete_claim(&mut self, owner: usize, mut claim: Claim) {
         if !claim.unconfirmed {
             let Some(revision) = self.commit(&claim) else {
-                return self.deliver(owner, Event::Claimed { won: false });
+                return self.deliver(owner, Event::DutyClaimed { won: false });
             };
             claim.duty.revision = revision;
         }
         self.claims[owner] = Some(claim);
-        self.deliver(owner, Event::Claimed { won: true });
+        self.deliver(owner, Event::DutyClaimed { won: true });
     }
 
     fn apply_step(&mut self, step: Step) {
@@ -365,9 +368,9 @@
                 owner,
                 term,
             } => {
-                self.deliver(target, Event::Revoke);
+                self.deliver(target, Event::RevokeLease);
                 if !self.boxes[target].is_deposing() {
-                    self.send(Step::Deliver(owner, Event::Revoked { term }));
+                    self.send(Step::Deliver(owner, Event::LeasesRevoked { term }));
                 }
             }
             Step::LearnDuty { owner, duty } => self.known_duties[owner] = Some(duty),
@@ -398,7 +401,7 @@
             true => (PROBE_TIMEOUT, Err(MemberError::Silent)),
             false => (self.delay(), Ok(node.status())),
         };
-        let event = Event::Status {
+        let event = Event::Probed {
             member,
             began,
             answer,
