--- a/examples/queue.rs
+++ b/examples/queue.rs
@@ -14,7 +14,7 @@
 fn filled(waiting: u64, partner: &Arc<str>) -> Fair {
     let mut fair = Fair::new(1, Duration::from_nanos(1));
     for id in 0..=waiting {
-        fair.arrive(id, partner, 1, Duration::ZERO, FAR);
+        fair.admit(id, partner, 1, Duration::ZERO, FAR);
     }
     fair
 }
@@ -35,15 +35,15 @@
         let mut fair = filled(waiting, &partner);
         let withdraw = each(|round| {
             let id = 1_000_000 + round;
-            fair.arrive(id, &partner, 1, Duration::ZERO, FAR);
-            fair.withdraw(id);
+            fair.admit(id, &partner, 1, Duration::ZERO, FAR);
+            fair.remove(id);
         });
         let expire = each(|_| {
             fair.expire(Duration::ZERO);
         });
         let release = each(|round| {
-            fair.release(Duration::from_nanos(1));
-            fair.arrive(2_000_000 + round, &partner, 1, Duration::ZERO, FAR);
+            fair.finish(Duration::from_nanos(1));
+            fair.admit(2_000_000 + round, &partner, 1, Duration::ZERO, FAR);
         });
         println!("{waiting:7}  {withdraw:26} ns  {expire:17} ns  {release:4} ns");
     }
--- a/src/decisions/fair.rs
+++ b/src/decisions/fair.rs
@@ -52,15 +52,18 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Due {
     /// Answered later, it is late.
-    pub aim: Duration,
+    pub soft: Duration,
     /// Answered later, it is lost.
-    pub limit: Duration,
+    pub hard: Duration,
 }
 
 impl From<Duration> for Due {
     /// One that is on time until it is lost.
     fn from(limit: Duration) -> Self {
-        Self { aim: limit, limit }
+        Self {
+            soft: limit,
+            hard: limit,
+        }
     }
 }
 
@@ -100,7 +103,7 @@
     connections: usize,
     running: usize,
     /// Open transactions between their statements.
-    resting: usize,
+    idle_transactions: usize,
     /// Requests may be answered after their aim.
     serves_late: bool,
     /// Late ones that wait.
@@ -133,7 +136,7 @@
             capacity,
             connections: usize::MAX,
             running: 0,
-            resting: 0,
+            idle_transactions: 0,
             serves_late: false,
             late: 0,
             stalled: None,
@@ -157,7 +160,7 @@
     }
 
     /// Running requests and resting transactions at once.
-    pub fn set_connections(&mut self, connections: usize) {
+    pub fn set_connection_limit(&mut self, connections: usize) {
         self.connections = connections;
     }
 
@@ -171,23 +174,23 @@
     }
 
     /// Open transactions between their statements.
-    pub fn resting(&self) -> usize {
-        self.resting
+    pub fn idle_transactions(&self) -> usize {
+        self.idle_transactions
     }
 
     /// Places that requests may have now.
-    pub fn places(&self) -> usize {
-        let free = self.connections.saturating_sub(self.resting);
+    pub fn slots(&self) -> usize {
+        let free = self.connections.saturating_sub(self.idle_transactions);
         self.capacity.min(free).max(1)
     }
 
     /// Places that late requests may have.
     fn late_places(&self) -> usize {
-        (self.places() / LATE_PART).max(1)
+        (self.slots() / LATE_PART).max(1)
     }
 
     /// Requests that wait and can be answered within their aim.
-    pub fn on_time(&self) -> usize {
+    pub fn waiting_on_time(&self) -> usize {
         self.waiting.len() - self.late
     }
 
@@ -195,15 +198,15 @@
         self.waiting.len()
     }
 
-    pub fn has_room(&self) -> bool {
-        self.has_place() && self.on_time() == 0
+    pub fn admits_at_once(&self) -> bool {
+        self.has_place() && self.waiting_on_time() == 0
     }
 
     fn has_place(&self) -> bool {
-        self.running < self.capacity && self.running + self.resting < self.connections
+        self.running < self.capacity && self.running + self.idle_transactions < self.connections
     }
 
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         id: u64,
         partner: &Arc<str>,
@@ -213,13 +216,13 @@
     ) -> Admission {
         let due = due.into();
         self.clock = now;
-        if self.has_room() {
+        if self.admits_at_once() {
             self.running += 1;
             return Admission::Run;
         }
         let own = self.lines.get(partner).map_or(0, |line| line.waiting);
         let wait = self.expected(own, self.active.max(1));
-        if now + wait + self.allowance(wait) <= due.aim {
+        if now + wait + self.allowance(wait) <= due.soft {
             self.enqueue(id, partner, weight, due);
             return Admission::Wait;
         }
@@ -228,7 +231,7 @@
             return Admission::Wait;
         }
         let retry_after = match self.serves_late {
-            true => self.promise_return(now),
+            true => self.schedule_retry(now),
             false => wait,
         };
         Admission::Refuse { retry_after }
@@ -248,26 +251,26 @@
             .stalled
             .map_or(Duration::ZERO, |since| now.saturating_sub(since));
         let wait = queue.max(stall);
-        self.serves_late && now + wait + self.allowance(wait) <= due.limit
+        self.serves_late && now + wait + self.allowance(wait) <= due.hard
     }
 
     /// Time after which a caller refused now finds room.
-    pub fn promise_return(&mut self, now: Duration) -> Duration {
-        let gap = self.service / self.places() as u32;
+    pub fn schedule_retry(&mut self, now: Duration) -> Duration {
+        let gap = self.service / self.slots() as u32;
         let queue = gap * (self.waiting.len() as u32 + 1);
         self.returns.promise(queue, gap, now)
     }
 
     fn enqueue_late(&mut self, id: u64, partner: Arc<str>, due: Due) {
         self.sequence += 1;
-        let limit = u64::try_from(due.limit.as_micros()).unwrap_or(u64::MAX);
+        let limit = u64::try_from(due.hard.as_micros()).unwrap_or(u64::MAX);
         self.late += 1;
         self.stalled = self.stalled.or(Some(self.clock));
         let waiter = Waiter {
             id,
             partner,
             due,
-            deadline: due.limit,
+            deadline: due.hard,
         };
         self.insert((Class::Late, limit, self.sequence), waiter);
     }
@@ -292,7 +295,7 @@
             id,
             partner: partner.clone(),
             due,
-            deadline: due.aim,
+            deadline: due.soft,
         };
         self.insert(turn, waiter);
     }
@@ -300,7 +303,7 @@
     /// Expected wait behind `own` of the partner's requests with `active` partners.
     fn expected(&self, own: usize, active: usize) -> Duration {
         let turns = (own + 1) * active;
-        self.service * turns as u32 / self.places() as u32
+        self.service * turns as u32 / self.slots() as u32
     }
 
     /// Time kept between the expected start and the deadline: for the statement
@@ -311,7 +314,7 @@
     }
 
     /// Time a statement takes, where a place is held for longer than one.
-    pub fn set_run(&mut self, run: Duration) {
+    pub fn set_statement_time(&mut self, run: Duration) {
         self.run = Some(run);
     }
 
@@ -320,7 +323,7 @@
     }
 
     /// A place became free after `took`. Who runs next, if anyone waits.
-    pub fn release(&mut self, took: Duration) -> Option<u64> {
+    pub fn finish(&mut self, took: Duration) -> Option<u64> {
         assert!(self.running > 0, "a place is released that nobody held");
         self.running -= 1;
         self.note_service(took);
@@ -329,25 +332,31 @@
 
     /// A transaction rests after a statement that took a place for `took`: it keeps its
     /// connection alone.
-    pub fn rest(&mut self, took: Duration) -> Option<u64> {
+    pub fn go_idle(&mut self, took: Duration) -> Option<u64> {
         assert!(self.running > 0, "a transaction rests that did not run");
         self.running -= 1;
-        self.resting += 1;
+        self.idle_transactions += 1;
         self.note_service(took);
         self.admit_next()
     }
 
     /// A resting transaction runs again. It holds what others wait for, so it does not wait.
     pub fn resume(&mut self) {
-        assert!(self.resting > 0, "a transaction runs on that did not rest");
-        self.resting -= 1;
+        assert!(
+            self.idle_transactions > 0,
+            "a transaction runs on that did not rest"
+        );
+        self.idle_transactions -= 1;
         self.running += 1;
     }
 
     /// A resting transaction is given up.
-    pub fn vacate(&mut self) -> Option<u64> {
-        assert!(self.resting > 0, "a transaction ends that did not rest");
-        self.resting -= 1;
+    pub fn end_idle(&mut self) -> Option<u64> {
+        assert!(
+            self.idle_transactions > 0,
+            "a transaction ends that did not rest"
+        );
+        self.idle_transactions -= 1;
         self.admit_next()
     }
 
@@ -385,7 +394,7 @@
     }
 
     /// Takes out a waiter that gave up. False when it runs already.
-    pub fn withdraw(&mut self, id: u64) -> bool {
+    pub fn remove(&mut self, id: u64) -> bool {
         let Some(turn) = self.turns.get(&id).copied() else {
             return false;
         };
@@ -404,7 +413,7 @@
         let mut ids: Vec<u64> = due.map(|(_, id)| *id).collect();
         ids.retain(|id| !self.becomes_late(*id, now));
         for id in &ids {
-            self.withdraw(*id);
+            self.remove(*id);
         }
         ids
     }
@@ -443,8 +452,8 @@
     }
 
     /// Expected wait of a newcomer.
-    pub fn wait(&self) -> Duration {
-        self.service * (self.on_time() as u32 / self.places() as u32 + 1)
+    pub fn expected_wait(&self) -> Duration {
+        self.service * (self.waiting_on_time() as u32 / self.slots() as u32 + 1)
     }
 
     fn forget(&mut self, turn: Turn, waiter: &Waiter) {
--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -139,12 +139,12 @@
 
     /// Time until it is expected to answer one more statement.
     fn wait(&self, now: Duration, slots: usize) -> Duration {
-        let load = self.fair.running() + self.fair.on_time();
+        let load = self.fair.running() + self.fair.waiting_on_time();
         let turns = 1.0 + load as f64 / slots.max(1) as f64;
         let run = self.latency.mean(now);
-        let queue = match self.fair.has_room() {
+        let queue = match self.fair.admits_at_once() {
             true => Duration::ZERO,
-            false => run * (self.fair.on_time() as u32 + 1) / self.fair.places() as u32,
+            false => run * (self.fair.waiting_on_time() as u32 + 1) / self.fair.slots() as u32,
         };
         run.mul_f64(turns) + queue
     }
@@ -387,7 +387,7 @@
             Event::Resume { member } => self.members[member].fair.resume(),
             Event::Vacate { member } => self.vacate(member, now, &mut out),
             Event::Late { member, after } => {
-                self.members[member].latency.late(after, now);
+                self.members[member].latency.record_timeout(after, now);
                 self.members[member].detector.hurry(now);
                 if self.members[member].spec.domain != self.domain {
                     self.hurry_far(now);
@@ -564,9 +564,9 @@
                 .map(|age| age.as_millis() as u64),
             suspected: member.suspected,
             running: member.fair.running(),
-            resting: member.fair.resting(),
+            resting: member.fair.idle_transactions(),
             waiting: member.fair.waiting(),
-            late: member.fair.waiting() - member.fair.on_time(),
+            late: member.fair.waiting() - member.fair.waiting_on_time(),
             room: member.room,
         };
         let members = self.members.iter().enumerate();
--- a/src/decisions/group/membership.rs
+++ b/src/decisions/group/membership.rs
@@ -147,7 +147,7 @@
         for member in &mut self.members {
             member.room = most;
             member.fair.set_capacity(capacity);
-            member.fair.set_connections(most);
+            member.fair.set_connection_limit(most);
             member.fair.set_serves_late(serves_late);
         }
     }
--- a/src/decisions/group/passing.rs
+++ b/src/decisions/group/passing.rs
@@ -177,11 +177,11 @@
     pub(super) fn expire_queue(&mut self, member: usize, now: Duration, out: &mut Vec<Action>) {
         let serve_late = self.settings.serve_late;
         let fair = &mut self.members[member].fair;
-        let wait = fair.wait();
+        let wait = fair.expected_wait();
         for id in fair.expire(now) {
             self.waiting.queued.remove(&id);
             let retry_after = match serve_late {
-                true => fair.promise_return(now),
+                true => fair.schedule_retry(now),
                 false => wait,
             };
             let refusal = Refusal::overload(retry_after);
--- a/src/decisions/group/placing.rs
+++ b/src/decisions/group/placing.rs
@@ -322,12 +322,12 @@
         let aim = request.aim.filter(|_| fresh);
         let limit = request.deadline;
         let due = Due {
-            aim: aim.map_or(limit, |aim| limit.min(request.arrived + aim)),
+            soft: aim.map_or(limit, |aim| limit.min(request.arrived + aim)),
             // Without late answers, all that passes the aim is refused.
-            limit,
+            hard: limit,
         };
-        fair.set_run(run);
-        match fair.arrive(id, &request.partner, request.weight, now, due) {
+        fair.set_statement_time(run);
+        match fair.admit(id, &request.partner, request.weight, now, due) {
             Admission::Run => {
                 let term = self.replace.term;
                 out.push(Action::Assign {
@@ -352,7 +352,7 @@
         self.waiting.floorless.remove(&id);
         self.waiting.lagging.remove(&id);
         if let Some((_, member)) = self.waiting.queued.remove(&id) {
-            self.members[member].fair.withdraw(id);
+            self.members[member].fair.remove(id);
         }
     }
 
@@ -364,7 +364,7 @@
         out: &mut Vec<Action>,
     ) {
         self.expire_queue(member, now, out);
-        let next = self.members[member].fair.release(took);
+        let next = self.members[member].fair.finish(took);
         self.fill(member, next, now, out);
     }
 
@@ -376,13 +376,13 @@
         out: &mut Vec<Action>,
     ) {
         self.expire_queue(member, now, out);
-        let next = self.members[member].fair.rest(took);
+        let next = self.members[member].fair.go_idle(took);
         self.fill(member, next, now, out);
     }
 
     pub(super) fn vacate(&mut self, member: usize, now: Duration, out: &mut Vec<Action>) {
         self.expire_queue(member, now, out);
-        let next = self.members[member].fair.vacate();
+        let next = self.members[member].fair.end_idle();
         self.fill(member, next, now, out);
     }
 
@@ -399,7 +399,7 @@
                 return;
             }
             // It grew too old while the request waited.
-            next = self.members[member].fair.release(self.settings.service);
+            next = self.members[member].fair.finish(self.settings.service);
             self.place(request, now, out);
         }
     }
@@ -432,10 +432,10 @@
     pub(super) fn full(&mut self, member: usize, now: Duration) {
         let step = self.room_step();
         let known = &mut self.members[member];
-        let held = known.fair.running() + known.fair.resting();
+        let held = known.fair.running() + known.fair.idle_transactions();
         known.room = held.saturating_sub(1).min(known.room);
         known.widen = now + step;
-        known.fair.set_connections(known.room);
+        known.fair.set_connection_limit(known.room);
     }
 
     /// Drawn anew each time, so that boxes do not try in step.
@@ -454,7 +454,7 @@
             }
             known.room += 1;
             known.widen = now + step;
-            known.fair.set_connections(known.room);
+            known.fair.set_connection_limit(known.room);
             let next = known.fair.admit_next();
             self.fill(member, next, now, out);
         }
@@ -473,7 +473,7 @@
         let primary = Some(member) == self.replace.primary;
         let known = &mut self.members[member];
         known.detector.heard(began, now);
-        known.latency.answered(now.saturating_sub(began), now);
+        known.latency.record_answer(now.saturating_sub(began), now);
         if primary && led {
             self.keep(member, began);
         }
--- a/tests/unit/fair.rs
+++ b/tests/unit/fair.rs
@@ -19,10 +19,10 @@
     let mut fair = Fair::new(1, MS);
     let (flood, quiet) = (partner("a"), partner("b"));
     for id in 0..100 {
-        fair.arrive(id, &flood, 1, MS, MS * 10_000);
+        fair.admit(id, &flood, 1, MS, MS * 10_000);
     }
-    fair.arrive(1_000, &quiet, 1, MS, MS * 10_000);
-    let order: Vec<Option<u64>> = (0..3).map(|_| fair.release(MS)).collect();
+    fair.admit(1_000, &quiet, 1, MS, MS * 10_000);
+    let order: Vec<Option<u64>> = (0..3).map(|_| fair.finish(MS)).collect();
     expect_that!(order, contains(some(eq(&1_000))));
 }
 
@@ -30,10 +30,10 @@
 fn weights_share_the_places() {
     let mut fair = Fair::new(1, MS);
     for id in 0..300 {
-        fair.arrive(id, &partner("a"), 3, MS, MS * 10_000);
-        fair.arrive(1_000 + id, &partner("b"), 1, MS, MS * 10_000);
+        fair.admit(id, &partner("a"), 3, MS, MS * 10_000);
+        fair.admit(1_000 + id, &partner("b"), 1, MS, MS * 10_000);
     }
-    let served = (0..200).filter_map(|_| fair.release(MS));
+    let served = (0..200).filter_map(|_| fair.finish(MS));
     let light = served.filter(|id| *id >= 1_000).count();
     expect_that!(light, all![ge(45), le(55)]);
 }
@@ -42,9 +42,9 @@
 fn who_would_wait_past_the_deadline_is_refused_at_once_with_the_time() {
     let mut fair = Fair::new(1, MS * 10);
     let a = partner("a");
-    expect_that!(fair.arrive(1, &a, 1, MS, MS * 100), eq(Admission::Run));
-    expect_that!(fair.arrive(2, &a, 1, MS, MS * 100), eq(Admission::Wait));
-    let refused = fair.arrive(3, &a, 1, MS, MS * 15);
+    expect_that!(fair.admit(1, &a, 1, MS, MS * 100), eq(Admission::Run));
+    expect_that!(fair.admit(2, &a, 1, MS, MS * 100), eq(Admission::Wait));
+    let refused = fair.admit(3, &a, 1, MS, MS * 15);
     expect_that!(
         refused,
         eq(Admission::Refuse {
@@ -58,15 +58,15 @@
     let mut fair = Fair::new(1, MS);
     let a = partner("a");
     for id in 0..4 {
-        fair.arrive(id, &a, 1, MS, MS * (10 * (id as u32 + 1)));
+        fair.admit(id, &a, 1, MS, MS * (10 * (id as u32 + 1)));
     }
-    expect_that!(fair.withdraw(2), eq(true));
+    expect_that!(fair.remove(2), eq(true));
     expect_that!(fair.expire(MS * 25), elements_are![eq(&1)]);
     // One that could only be answered late is taken out before its deadline.
-    fair.arrive(9, &a, 1, MS * 25, MS * 31);
+    fair.admit(9, &a, 1, MS * 25, MS * 31);
     expect_that!(fair.expire(MS * 30 + MS / 2), elements_are![eq(&9)]);
-    expect_that!(fair.release(MS), some(eq(3)));
-    expect_that!(fair.release(MS), none());
+    expect_that!(fair.finish(MS), some(eq(3)));
+    expect_that!(fair.finish(MS), none());
 }
 
 /// The load: orders in transactions, which rest while their callers think. A place that such a
@@ -74,29 +74,29 @@
 #[gtest]
 fn a_resting_transaction_keeps_its_connection_and_no_place() {
     let mut fair = Fair::new(1, MS);
-    fair.set_connections(2);
+    fair.set_connection_limit(2);
     let a = partner("a");
-    expect_that!(fair.arrive(1, &a, 1, MS, MS * 100), eq(Admission::Run));
-    expect_that!(fair.arrive(2, &a, 1, MS, MS * 100), eq(Admission::Wait));
-    expect_that!(fair.rest(MS), some(eq(2)));
+    expect_that!(fair.admit(1, &a, 1, MS, MS * 100), eq(Admission::Run));
+    expect_that!(fair.admit(2, &a, 1, MS, MS * 100), eq(Admission::Wait));
+    expect_that!(fair.go_idle(MS), some(eq(2)));
     // Both connections are taken: one rests, one runs.
-    expect_that!(fair.release(MS), none());
-    expect_that!(fair.arrive(3, &a, 1, MS, MS * 100), eq(Admission::Run));
-    expect_that!(fair.rest(MS), none());
-    expect_that!(fair.arrive(4, &a, 1, MS, MS * 100), eq(Admission::Wait));
+    expect_that!(fair.finish(MS), none());
+    expect_that!(fair.admit(3, &a, 1, MS, MS * 100), eq(Admission::Run));
+    expect_that!(fair.go_idle(MS), none());
+    expect_that!(fair.admit(4, &a, 1, MS, MS * 100), eq(Admission::Wait));
     // What runs on does not wait behind it.
     fair.resume();
-    expect_that!((fair.running(), fair.resting()), eq((1, 1)));
-    expect_that!(fair.release(MS), some(eq(4)));
-    expect_that!(fair.release(MS), none());
-    expect_that!(fair.vacate(), none());
-    expect_that!((fair.running(), fair.resting()), eq((0, 0)));
+    expect_that!((fair.running(), fair.idle_transactions()), eq((1, 1)));
+    expect_that!(fair.finish(MS), some(eq(4)));
+    expect_that!(fair.finish(MS), none());
+    expect_that!(fair.end_idle(), none());
+    expect_that!((fair.running(), fair.idle_transactions()), eq((0, 0)));
 }
 
 fn due(aim: u32, limit: u32) -> Due {
     Due {
-        aim: MS * aim,
-        limit: MS * limit,
+        soft: MS * aim,
+        hard: MS * limit,
     }
 }
 
@@ -106,24 +106,21 @@
     fair.set_serves_late(true);
     let a = partner("a");
     for id in [1, 2] {
-        fair.arrive(id, &a, 1, MS, due(100, 500));
+        fair.admit(id, &a, 1, MS, due(100, 500));
     }
     // No time for its aim, and time for its limit.
-    expect_that!(fair.arrive(3, &a, 1, MS, due(10, 500)), eq(Admission::Wait));
-    expect_that!(
-        fair.arrive(4, &a, 1, MS, due(200, 500)),
-        eq(Admission::Wait)
-    );
-    expect_that!(fair.on_time(), eq(1));
-    expect_that!(fair.release(MS * 10), some(eq(4)));
+    expect_that!(fair.admit(3, &a, 1, MS, due(10, 500)), eq(Admission::Wait));
+    expect_that!(fair.admit(4, &a, 1, MS, due(200, 500)), eq(Admission::Wait));
+    expect_that!(fair.waiting_on_time(), eq(1));
+    expect_that!(fair.finish(MS * 10), some(eq(4)));
     // The late one gets no place while half of them are busy: one has to stay free.
-    expect_that!(fair.release(MS * 10), none());
+    expect_that!(fair.finish(MS * 10), none());
     expect_that!(
-        fair.arrive(5, &a, 1, MS * 20, due(200, 500)),
+        fair.admit(5, &a, 1, MS * 20, due(200, 500)),
         eq(Admission::Run)
     );
-    expect_that!(fair.release(MS * 10), none());
-    expect_that!(fair.release(MS * 10), some(eq(3)));
+    expect_that!(fair.finish(MS * 10), none());
+    expect_that!(fair.finish(MS * 10), some(eq(3)));
 }
 
 #[gtest]
@@ -131,10 +128,10 @@
     let mut fair = Fair::new(1, MS * 10);
     fair.set_serves_late(true);
     let a = partner("a");
-    fair.arrive(1, &a, 1, MS, due(100, 500));
-    fair.arrive(2, &a, 1, MS, due(60, 300));
+    fair.admit(1, &a, 1, MS, due(100, 500));
+    fair.admit(2, &a, 1, MS, due(60, 300));
     expect_that!(fair.expire(MS * 70), is_empty());
-    expect_that!(fair.on_time(), eq(0));
+    expect_that!(fair.waiting_on_time(), eq(0));
     expect_that!(fair.waiting(), eq(1));
     expect_that!(fair.expire(MS * 295), elements_are![eq(&2)]);
 }
@@ -145,9 +142,9 @@
     let mut fair = Fair::new(1, MS * 10);
     fair.set_serves_late(true);
     let a = partner("a");
-    fair.arrive(1, &a, 1, MS, due(100, 900));
-    expect_that!(fair.arrive(2, &a, 1, MS, due(5, 900)), eq(Admission::Wait));
-    let refused = fair.arrive(3, &a, 1, MS * 400, due(405, 700));
+    fair.admit(1, &a, 1, MS, due(100, 900));
+    expect_that!(fair.admit(2, &a, 1, MS, due(5, 900)), eq(Admission::Wait));
+    let refused = fair.admit(3, &a, 1, MS * 400, due(405, 700));
     expect_that!(
         refused,
         pat!(Admission::Refuse {
@@ -162,9 +159,9 @@
     fair.set_serves_late(true);
     let a = partner("a");
     for id in [1, 2] {
-        fair.arrive(id, &a, 1, MS, due(100, 500));
+        fair.admit(id, &a, 1, MS, due(100, 500));
     }
-    let refused = (3..6).map(|id| match fair.arrive(id, &a, 1, MS, due(2, 2)) {
+    let refused = (3..6).map(|id| match fair.admit(id, &a, 1, MS, due(2, 2)) {
         Admission::Refuse { retry_after } => retry_after,
         other => panic!("{other:?}"),
     });
@@ -226,7 +223,7 @@
             }
             let gone = fair.expire(now);
             served.held += gone.len();
-            if let Some(next) = fair.release(took) {
+            if let Some(next) = fair.finish(took) {
                 running.insert(start(next, now, &mut dice));
             }
         }
@@ -242,10 +239,10 @@
         let id = u64::from(tick);
         arrived.insert(id, now);
         let due = Due {
-            aim: now + AIM,
-            limit: now + LIMIT,
+            soft: now + AIM,
+            hard: now + LIMIT,
         };
-        match fair.arrive(id, &partners[tick as usize % 2], 1, now, due) {
+        match fair.admit(id, &partners[tick as usize % 2], 1, now, due) {
             Admission::Run => {
                 running.insert(start(id, now, &mut dice));
             }
@@ -331,7 +328,7 @@
     ) {
         let mut fair = Fair::new(3, MS * 10);
         fair.set_serves_late(serves_late);
-        fair.set_connections(5);
+        fair.set_connection_limit(5);
         let partners = ["a", "b", "c"].map(partner);
         let (mut now, mut connections) = (MS, 5);
         let (mut waiting, mut ended) = (BTreeSet::new(), BTreeSet::new());
@@ -340,19 +337,19 @@
             let mut next = None;
             match happening {
                 Happening::Arrive { aim, more, partner } => {
-                    let due = Due { aim: now + MS * aim, limit: now + MS * (aim + more) };
-                    match fair.arrive(id, &partners[partner], 1, now, due) {
+                    let due = Due { soft: now + MS * aim, hard: now + MS * (aim + more) };
+                    match fair.admit(id, &partners[partner], 1, now, due) {
                         Admission::Wait => { waiting.insert(id); }
                         _ => { prop_assert!(ended.insert(id)); }
                     }
                 }
-                Happening::Release if fair.running() > 0 => next = fair.release(MS * 8),
-                Happening::Rest if fair.running() > 0 => next = fair.rest(MS * 8),
-                Happening::Resume if fair.resting() > 0 => fair.resume(),
-                Happening::Vacate if fair.resting() > 0 => next = fair.vacate(),
+                Happening::Release if fair.running() > 0 => next = fair.finish(MS * 8),
+                Happening::Rest if fair.running() > 0 => next = fair.go_idle(MS * 8),
+                Happening::Resume if fair.idle_transactions() > 0 => fair.resume(),
+                Happening::Vacate if fair.idle_transactions() > 0 => next = fair.end_idle(),
                 Happening::Withdraw(i) => {
                     if let Some(id) = waiting.iter().nth(i).copied() {
-                        prop_assert!(fair.withdraw(id));
+                        prop_assert!(fair.remove(id));
                         waiting.remove(&id);
                         ended.insert(id);
                     }
@@ -366,7 +363,7 @@
                 }
                 Happening::Connections(most) => {
                     connections = most;
-                    fair.set_connections(most);
+                    fair.set_connection_limit(most);
                     next = fair.admit_next();
                 }
                 _ => {}
@@ -377,8 +374,8 @@
                 next = fair.admit_next();
             }
             prop_assert_eq!(fair.waiting(), waiting.len());
-            let full = fair.running() >= 3 || fair.running() + fair.resting() >= connections;
-            prop_assert!(full || fair.on_time() == 0, "a place is free");
+            let full = fair.running() >= 3 || fair.running() + fair.idle_transactions() >= connections;
+            prop_assert!(full || fair.waiting_on_time() == 0, "a place is free");
         }
     }
 }
