--- a/src/decisions/floors.rs
+++ b/src/decisions/floors.rs
@@ -39,7 +39,7 @@
     kinds: HashMap<Arc<str>, Position>,
     /// Tables written in the open transaction; none within when not all are known.
     open: Option<BTreeSet<Arc<str>>>,
-    writing: bool,
+    record_pending_write: bool,
 }
 
 impl Floors {
@@ -51,7 +51,7 @@
     }
 
     /// Floor for an exchange; none while it is unknown.
-    pub fn of(&self, scope: &Scope) -> Option<Position> {
+    pub fn floor_for(&self, scope: &Scope) -> Option<Position> {
         let base = self.base?;
         let Some(kind) = &scope.kind else {
             let own = self.tables.values().copied();
@@ -68,7 +68,7 @@
 
     /// Everything in one position, for the token.
     pub fn token(&self) -> Option<Position> {
-        let all = self.of(&Scope::default())?;
+        let all = self.floor_for(&Scope::default())?;
         Some(self.kinds.values().copied().fold(all, Position::join))
     }
 
@@ -78,12 +78,12 @@
     }
 
     /// The floor that was handed in is not possible: the session starts anew.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 
     /// A read's answer reached `position`, at a replica or not.
-    pub fn read(&mut self, scope: &Scope, position: Position, replica: bool) {
+    pub fn record_read(&mut self, scope: &Scope, position: Position, replica: bool) {
         if self.base.is_none() {
             // The first answer settles the unknown floor.
             self.base = Some(position);
@@ -100,27 +100,27 @@
     }
 
     /// A statement that may write was run in a transaction that is still open.
-    pub fn writing(&mut self, scope: &Scope) {
+    pub fn record_pending_write(&mut self, scope: &Scope) {
         if scope.ends {
             return;
         }
-        let before = match self.writing {
+        let before = match self.record_pending_write {
             true => self.open.take(),
             false => Some(BTreeSet::new()),
         };
-        self.writing = true;
+        self.record_pending_write = true;
         self.open = before
             .filter(|_| !scope.tables.is_empty())
             .map(|tables| tables.union(&scope.tables).cloned().collect());
     }
 
     /// What was written since the last call is acknowledged at `position`.
-    pub fn wrote(&mut self, position: Position) {
-        if !self.writing {
-            return self.read(&Scope::default(), position, false);
+    pub fn acknowledge_writes(&mut self, position: Position) {
+        if !self.record_pending_write {
+            return self.record_read(&Scope::default(), position, false);
         }
         let tables = self.open.take().unwrap_or_default();
-        self.writing = false;
+        self.record_pending_write = false;
         if tables.is_empty() {
             self.raise(position);
             return;
@@ -132,8 +132,8 @@
     }
 
     /// The open transaction ended without an acknowledged write.
-    pub fn ended(&mut self) {
+    pub fn discard_pending_writes(&mut self) {
         self.open = None;
-        self.writing = false;
+        self.record_pending_write = false;
     }
 }
--- a/src/decisions/latency.rs
+++ b/src/decisions/latency.rs
@@ -26,14 +26,14 @@
     }
 
     /// An answer took this long.
-    pub fn answered(&mut self, took: Duration, now: Duration) {
+    pub fn record_answer(&mut self, took: Duration, now: Duration) {
         let mean = self.mean(now);
         self.mean = (mean * (SMOOTHING - 1) + took) / SMOOTHING;
         self.heard = now;
     }
 
     /// No answer came for this long.
-    pub fn late(&mut self, after: Duration, now: Duration) {
+    pub fn record_timeout(&mut self, after: Duration, now: Duration) {
         self.mean = self.mean(now).max(after);
         self.heard = now;
     }
--- a/src/node/serving.rs
+++ b/src/node/serving.rs
@@ -72,7 +72,7 @@
 
     fn floor(&self, database: &Database, scope: &Scope) -> Option<Position> {
         match database.access {
-            Access::OwnWrites => self.floors.of(scope),
+            Access::OwnWrites => self.floors.floor_for(scope),
             // The staleness bound is all that is promised.
             Access::Bounded | Access::Primary => Some(Position::ZERO),
         }
--- a/src/node/session.rs
+++ b/src/node/session.rs
@@ -134,7 +134,7 @@
         if !reply.believed {
             let log = &self.context.log;
             events::emit(log, &events::TOKEN_IGNORED, &[("group", &exchange.group)]);
-            self.floors.forget();
+            self.floors.reset();
         }
         self.note_floors(reply, exchange, scope);
         if let Some(status) = reply.status {
@@ -270,21 +270,21 @@
     /// Raises the floors by what was read or written.
     fn note_floors(&mut self, reply: &Reply, exchange: &Exchange, scope: &Scope) {
         if exchange.effect == Effect::Writes {
-            self.floors.writing(scope);
+            self.floors.record_pending_write(scope);
         }
         let ended = reply.lease.is_none();
         match reply.position {
             Some(position) if exchange.effect == Effect::Writes && ended => {
-                self.floors.wrote(position);
+                self.floors.acknowledge_writes(position);
             }
             Some(position) => {
                 let replica = reply.server == Server::Replica;
-                self.floors.read(scope, position, replica);
+                self.floors.record_read(scope, position, replica);
             }
             None => {}
         }
         if ended {
-            self.floors.ended();
+            self.floors.discard_pending_writes();
         }
     }
 }
--- a/src/postgres/session.rs
+++ b/src/postgres/session.rs
@@ -416,7 +416,7 @@
             target: target(plan, &class, kind),
             effect,
             commits: class.kind == Kind::End,
-            floor: self.core.floors.of(&scope),
+            floor: self.core.floors.floor_for(&scope),
             patience: Duration::from_millis(plan.group.deadline_ms),
             limit: None,
             flow: None,
--- a/tests/unit/floors.rs
+++ b/tests/unit/floors.rs
@@ -22,20 +22,26 @@
 #[gtest]
 fn a_session_without_a_token_has_no_floor_until_its_first_answer() {
     let mut floors = Floors::new(None);
-    expect_that!(floors.of(&scope(None, &[])), none());
-    floors.read(&scope(None, &[]), at(5), false);
-    expect_that!(floors.of(&scope(Some("deck"), &["deck"])), some(eq(at(5))));
+    expect_that!(floors.floor_for(&scope(None, &[])), none());
+    floors.record_read(&scope(None, &[]), at(5), false);
+    expect_that!(
+        floors.floor_for(&scope(Some("deck"), &["deck"])),
+        some(eq(at(5)))
+    );
 }
 
 #[gtest]
 fn a_write_concerns_kinds_kept_apart_only_where_it_touches_their_tables() {
     let mut floors = session();
-    floors.writing(&scope(None, &["answer"]));
-    floors.wrote(at(9));
-    expect_that!(floors.of(&scope(None, &["x"])), some(eq(at(9))));
-    expect_that!(floors.of(&scope(Some("deck"), &["deck"])), some(eq(at(1))));
+    floors.record_pending_write(&scope(None, &["answer"]));
+    floors.acknowledge_writes(at(9));
+    expect_that!(floors.floor_for(&scope(None, &["x"])), some(eq(at(9))));
+    expect_that!(
+        floors.floor_for(&scope(Some("deck"), &["deck"])),
+        some(eq(at(1)))
+    );
     expect_that!(
-        floors.of(&scope(Some("deck"), &["answer"])),
+        floors.floor_for(&scope(Some("deck"), &["answer"])),
         some(eq(at(9)))
     );
 }
@@ -43,39 +49,48 @@
 #[gtest]
 fn a_write_to_unknown_tables_concerns_every_read() {
     let mut floors = session();
-    floors.writing(&scope(None, &["answer"]));
-    floors.writing(&scope(None, &[]));
-    floors.wrote(at(9));
-    expect_that!(floors.of(&scope(Some("deck"), &["deck"])), some(eq(at(9))));
+    floors.record_pending_write(&scope(None, &["answer"]));
+    floors.record_pending_write(&scope(None, &[]));
+    floors.acknowledge_writes(at(9));
+    expect_that!(
+        floors.floor_for(&scope(Some("deck"), &["deck"])),
+        some(eq(at(9)))
+    );
 }
 
 #[gtest]
 fn a_transactions_tables_count_from_its_end_and_not_after_a_rollback() {
     let mut floors = session();
-    floors.writing(&scope(None, &["deck"]));
-    expect_that!(floors.of(&scope(Some("deck"), &["deck"])), some(eq(at(1))));
-    floors.ended();
-    floors.wrote(at(9));
-    expect_that!(floors.of(&scope(Some("deck"), &["deck"])), some(eq(at(1))));
+    floors.record_pending_write(&scope(None, &["deck"]));
+    expect_that!(
+        floors.floor_for(&scope(Some("deck"), &["deck"])),
+        some(eq(at(1)))
+    );
+    floors.discard_pending_writes();
+    floors.acknowledge_writes(at(9));
+    expect_that!(
+        floors.floor_for(&scope(Some("deck"), &["deck"])),
+        some(eq(at(1)))
+    );
 }
 
 #[gtest]
 fn reads_raise_their_own_floor_and_the_token_holds_all() {
     let mut floors = session();
     let deck = scope(Some("deck"), &["deck"]);
-    floors.read(&deck, at(3), true);
-    floors.read(&deck, at(8), false);
-    expect_that!(floors.of(&deck), some(eq(at(3))));
-    floors.read(&scope(None, &["answer"]), at(6), false);
-    expect_that!(floors.of(&scope(None, &[])), some(eq(at(6))));
-    expect_that!(floors.of(&deck), some(eq(at(3))));
+    floors.record_read(&deck, at(3), true);
+    floors.record_read(&deck, at(8), false);
+    expect_that!(floors.floor_for(&deck), some(eq(at(3))));
+    floors.record_read(&scope(None, &["answer"]), at(6), false);
+    expect_that!(floors.floor_for(&scope(None, &[])), some(eq(at(6))));
+    expect_that!(floors.floor_for(&deck), some(eq(at(3))));
     expect_that!(floors.token(), some(eq(at(6))));
 }
 
 #[gtest]
 fn a_forgotten_floor_is_unknown_again() {
     let mut floors = session();
-    floors.forget();
+    floors.reset();
     expect_that!(floors.token(), none());
 }
 
--- a/tests/unit/setup.rs
+++ b/tests/unit/setup.rs
@@ -159,12 +159,12 @@
 fn a_slow_member_is_tried_again_after_a_while() {
     let at = Duration::from_millis;
     let mut latency = Latency::new(at(15));
-    latency.late(at(500), at(1_000));
+    latency.record_timeout(at(500), at(1_000));
     expect_that!(latency.mean(at(1_000)), eq(at(500)));
     expect_that!(latency.mean(at(2_000)), lt(at(260)));
     expect_that!(latency.mean(at(12_000)), lt(at(20)));
     for i in 0..40 {
-        latency.answered(at(10), at(12_000 + i));
+        latency.record_answer(at(10), at(12_000 + i));
     }
     expect_that!(latency.mean(at(12_040)), lt(at(12)));
 }
