--- a/src/decisions/limit.rs
+++ b/src/decisions/limit.rs
@@ -63,7 +63,7 @@
     /// Operations at once after a rest.
     pub burst: f64,
     /// Those of them that may be lent before anything is known of what was lent earlier.
-    pub start: f64,
+    pub initial: f64,
 }
 
 impl Limit {
@@ -74,21 +74,21 @@
         Self {
             rate: f64::from(rate),
             burst: (f64::from(burst) + f64::from(slack)).max(least),
-            start: f64::from(slack),
+            initial: f64::from(slack),
         }
     }
 
     /// The same with a part of it more, as far as the operator lets limits be passed.
-    pub fn widened(self, overage: f64) -> Self {
+    pub fn with_overage(self, overage: f64) -> Self {
         Self {
             rate: self.rate * (1.0 + overage),
             burst: self.burst * (1.0 + overage),
-            start: self.start,
+            initial: self.initial,
         }
     }
 
     /// In how many parts it is lent. Each lends one operation at once, or it never would.
-    pub fn parts(self, lenders: usize) -> usize {
+    pub fn part_count(self, lenders: usize) -> usize {
         (self.burst as usize).clamp(1, lenders.max(1))
     }
 
@@ -98,7 +98,7 @@
         Self {
             rate: self.rate / parts,
             burst: self.burst / parts,
-            start: self.start / parts,
+            initial: self.initial / parts,
         }
     }
 }
@@ -116,7 +116,7 @@
     pub fn new(limit: Limit, since: Duration, now: Duration) -> Self {
         let mut bucket = Self {
             limit,
-            tokens: limit.start,
+            tokens: limit.initial,
             at: since,
         };
         bucket.fill(limit, now);
@@ -194,14 +194,14 @@
 pub enum Spending {
     Paid,
     /// The limit is used up for this long.
-    Spent(Duration),
+    Exhausted(Duration),
     /// Ask the lender for so many.
-    Ask(u32),
+    Borrow(u32),
 }
 
 impl Purse {
     /// Counts an operation that wants to be let through.
-    pub fn count(&mut self, now: Duration) {
+    pub fn record_operation(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.since);
         if passed >= SEEN {
             self.rate = f64::from(self.seen) / passed.as_secs_f64();
@@ -218,13 +218,13 @@
             return Spending::Paid;
         }
         if now < self.spent_until {
-            return Spending::Spent(self.spent_until - now);
+            return Spending::Exhausted(self.spent_until - now);
         }
         let ahead = (self.rate * AHEAD.as_secs_f64()) as u32;
-        Spending::Ask((1 + waiting + ahead).min(MOST_ASKED))
+        Spending::Borrow((1 + waiting + ahead).min(MOST_ASKED))
     }
 
-    pub fn take(&mut self, loan: Loan, now: Duration) {
+    pub fn record_loan(&mut self, loan: Loan, now: Duration) {
         match loan {
             Loan::Granted(tokens) => {
                 let kept = if now < self.until { self.tokens } else { 0 };
@@ -236,20 +236,20 @@
     }
 
     /// A lender had no turn in time, and told this wait.
-    pub fn note_full(&mut self, wait: Duration, now: Duration) {
+    pub fn record_full_queue(&mut self, wait: Duration, now: Duration) {
         self.full_until = now + FULL;
         self.told = wait;
     }
 
     /// What a caller is told while there is no use in asking for a turn.
-    pub fn refuse(&mut self, now: Duration) -> Option<Duration> {
+    pub fn refusal_wait(&mut self, now: Duration) -> Option<Duration> {
         let gap = self.told / SPREAD;
         let full = now < self.full_until;
         full.then(|| self.returns.promise(self.told, gap, now))
     }
 
     /// Whether it says nothing that a new one would not.
-    pub fn is_forgettable(&self, now: Duration) -> bool {
+    pub fn is_expired(&self, now: Duration) -> bool {
         now >= self.until && now >= self.spent_until && now >= self.since + 2 * SEEN
     }
 }
--- a/src/decisions/limit/lender.rs
+++ b/src/decisions/limit/lender.rs
@@ -26,9 +26,9 @@
     /// It may run.
     Granted,
     /// Its turn is expected at this moment.
-    Waits(Waiting, Duration),
+    Queued(Waiting, Duration),
     /// Its turn would come too late; worth another try after this time.
-    Spent(Duration),
+    Exhausted(Duration),
 }
 
 /// A part of a workspace's limit, and who waits for it.
@@ -83,7 +83,7 @@
     }
 
     /// Lends one operation, or has it wait for its turn, for `wait` at most.
-    pub fn queue(
+    pub fn enqueue(
         &mut self,
         workspace: &Arc<str>,
         part: Limit,
@@ -105,7 +105,7 @@
     }
 
     /// Whether the turn of one that waits has come.
-    pub fn turn(
+    pub fn poll(
         &mut self,
         workspace: &Arc<str>,
         part: Limit,
@@ -129,7 +129,7 @@
     }
 
     /// An operation does not wait any more.
-    pub fn leave(&mut self, workspace: &str, waiting: Waiting) {
+    pub fn cancel(&mut self, workspace: &str, waiting: Waiting) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.line.leave(waiting.id, waiting.end);
         }
@@ -141,7 +141,7 @@
         let turns = self.bucket.turns(part, now);
         let place = self.line.place(waiting.id, waiting.end);
         let turn = turns.of(place.unwrap_or_default());
-        Place::Waits(waiting, turn.clamp(now + LEAST_RETRY, now + LOOK))
+        Place::Queued(waiting, turn.clamp(now + LEAST_RETRY, now + LOOK))
     }
 
     /// Tells one that does not wait when to come back: after those that do, and after those
@@ -150,6 +150,6 @@
         let turns = self.bucket.turns(part, now);
         let queue = turns.of(self.line.len()) - now;
         let wait = self.returns.promise(queue, turns.gap, now);
-        Place::Spent(wait.clamp(LEAST_RETRY, MOST_RETRY))
+        Place::Exhausted(wait.clamp(LEAST_RETRY, MOST_RETRY))
     }
 }
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -94,7 +94,7 @@
     fn limit(&self, workspace: &Workspace) -> Option<Limit> {
         let rate = workspace.rate_per_s?;
         let limit = Limit::new(rate, workspace.burst, self.settings.limit_slack);
-        Some(limit.widened(self.settings.limit_overage))
+        Some(limit.with_overage(self.settings.limit_overage))
     }
 
     /// Logs that a workspace's limit is used up, now and then.
@@ -116,17 +116,17 @@
     ) -> Result<Admitted, Refusal> {
         let id = group_id(&workspace.partner, &workspace.name);
         self.limits
-            .purse(&id, self.now(), |purse, now| purse.count(now));
+            .purse(&id, self.now(), |purse, now| purse.record_operation(now));
         loop {
             let waiting = self.limits.waiting(&id);
             let spend = |purse: &mut Purse, now| purse.spend(waiting, now);
             let wanted = match self.limits.purse(&id, self.now(), spend) {
                 Spending::Paid => return Ok(Admitted::AtOnce),
-                Spending::Spent(_) if self.settings.limit_waits => {
+                Spending::Exhausted(_) if self.settings.limit_waits => {
                     return self.wait_for_turn(&id, limit, aim / TURN_PART).await;
                 }
-                Spending::Spent(wait) => return Err(Refusal::new(Reason::Limit, wait)),
-                Spending::Ask(wanted) => wanted,
+                Spending::Exhausted(wait) => return Err(Refusal::new(Reason::Limit, wait)),
+                Spending::Borrow(wanted) => wanted,
             };
             if self.limits.join(&id).await {
                 continue;
@@ -134,7 +134,7 @@
             let _asking = Asking::new(&self.limits, id.clone());
             let loan = self.borrow(&id, limit, wanted).await;
             self.limits
-                .purse(&id, self.now(), |purse, now| purse.take(loan, now));
+                .purse(&id, self.now(), |purse, now| purse.record_loan(loan, now));
         }
     }
 
@@ -145,7 +145,7 @@
         limit: Limit,
         wait: Duration,
     ) -> Result<Admitted, Refusal> {
-        let told = self.limits.purse(id, self.now(), Purse::refuse);
+        let told = self.limits.purse(id, self.now(), Purse::refusal_wait);
         if let Some(told) = told {
             return Err(Refusal::new(Reason::Limit, told));
         }
@@ -163,8 +163,9 @@
             match self.ask(lender, question).await {
                 Some(Loan::Granted(_)) => return Ok(Admitted::InTurn),
                 Some(Loan::Spent(wait)) => {
-                    self.limits
-                        .purse(id, self.now(), |purse, now| purse.note_full(wait, now));
+                    self.limits.purse(id, self.now(), |purse, now| {
+                        purse.record_full_queue(wait, now)
+                    });
                     return Err(Refusal::new(Reason::Limit, wait));
                 }
                 None => self
@@ -178,7 +179,7 @@
     /// The boxes that lend for a workspace, that of the own failure domain first.
     fn lenders<'a>(&self, id: &str, limit: Limit, boxes: &'a [Listing]) -> Vec<&'a Listing> {
         let mut lenders = lenders(id, boxes);
-        lenders.truncate(limit.parts(lenders.len()));
+        lenders.truncate(limit.part_count(lenders.len()));
         lenders.sort_by_key(|lender| lender.domain != self.settings.domain);
         lenders
     }
@@ -233,11 +234,11 @@
             let mut lender = self.limits.lender.borrow_mut();
             return Some(lender.lend(id, part, question.wanted, now));
         };
-        let place = self.limits.lender.borrow_mut().queue(id, part, wait, now);
+        let place = self.limits.lender.borrow_mut().enqueue(id, part, wait, now);
         let (waiting, mut turn) = match place {
-            Place::Waits(waiting, turn) => (waiting, turn),
+            Place::Queued(waiting, turn) => (waiting, turn),
             Place::Granted => return Some(Loan::Granted(1)),
-            Place::Spent(wait) => return Some(Loan::Spent(wait)),
+            Place::Exhausted(wait) => return Some(Loan::Spent(wait)),
         };
         let _in_line = InLine {
             limits: &self.limits,
@@ -248,11 +249,11 @@
             tokio::time::sleep(turn.saturating_sub(self.now())).await;
             let part = self.part(id)?;
             let now = self.now();
-            let place = self.limits.lender.borrow_mut().turn(id, part, waiting, now);
+            let place = self.limits.lender.borrow_mut().poll(id, part, waiting, now);
             match place {
-                Place::Waits(_, next) => turn = next,
+                Place::Queued(_, next) => turn = next,
                 Place::Granted => return Some(Loan::Granted(1)),
-                Place::Spent(wait) => return Some(Loan::Spent(wait)),
+                Place::Exhausted(wait) => return Some(Loan::Spent(wait)),
             }
         }
     }
@@ -263,7 +264,7 @@
         let limit = self.limit(&*workspace?)?;
         let boxes = self.boxes.borrow().clone();
         let lenders = lenders(id, &boxes);
-        let parts = limit.parts(lenders.len());
+        let parts = limit.part_count(lenders.len());
         let own = |lender: &&Listing| lender.name == self.settings.name;
         lenders.into_iter().take(parts).find(own)?;
         Some(limit.part(parts))
@@ -286,7 +287,7 @@
 impl Drop for InLine<'_> {
     fn drop(&mut self) {
         let mut lender = self.limits.lender.borrow_mut();
-        lender.leave(self.id, self.waiting);
+        lender.cancel(self.id, self.waiting);
     }
 }
 
@@ -329,7 +330,7 @@
     ) -> T {
         let mut purses = self.purses.borrow_mut();
         if purses.len() >= MANY_PURSES && !purses.contains_key(id) {
-            purses.retain(|_, purse| !purse.is_forgettable(now));
+            purses.retain(|_, purse| !purse.is_expired(now));
         }
         act(purses.entry(id.clone()).or_default(), now)
     }
--- a/tests/unit/limits.rs
+++ b/tests/unit/limits.rs
@@ -120,7 +120,7 @@
         let share = Limit {
             rate: self.limit.rate / boxes,
             burst: self.limit.burst / boxes,
-            start: 0.0,
+            initial: 0.0,
         };
         let granted = self.bucket(caller, share, 1, now);
         matches!(granted, Loan::Granted(_))
@@ -138,24 +138,24 @@
 
     fn admit_lent(&mut self, caller: &Listing, now: Duration) -> bool {
         let purse = &mut self.nodes.get_mut(&*caller.name).expect("known").purse;
-        purse.count(now);
+        purse.record_operation(now);
         loop {
             let purse = &mut self.nodes.get_mut(&*caller.name).expect("known").purse;
             let wanted = match purse.spend(0, now) {
                 Spending::Paid => return true,
-                Spending::Spent(_) => return false,
-                Spending::Ask(wanted) => wanted,
+                Spending::Exhausted(_) => return false,
+                Spending::Borrow(wanted) => wanted,
             };
             let loan = self.borrow(caller, wanted, now);
             let purse = &mut self.nodes.get_mut(&*caller.name).expect("known").purse;
-            purse.take(loan, now);
+            purse.record_loan(loan, now);
         }
     }
 
     fn borrow(&mut self, caller: &Listing, wanted: u32, now: Duration) -> Loan {
         let boxes = self.boxes.clone();
         let mut lenders = lenders(WORKSPACE, &boxes);
-        let parts = self.limit.parts(lenders.len());
+        let parts = self.limit.part_count(lenders.len());
         lenders.truncate(parts);
         lenders.sort_by_key(|lender| lender.domain != caller.domain);
         let mut soonest = SILENT;
@@ -344,10 +344,10 @@
 #[gtest]
 fn what_was_lent_lapses() {
     let mut purse = Purse::default();
-    purse.take(Loan::Granted(5), Duration::ZERO);
+    purse.record_loan(Loan::Granted(5), Duration::ZERO);
     expect_that!(purse.spend(0, Duration::ZERO), eq(Spending::Paid));
     let late = purse.spend(0, Duration::from_secs(1));
-    expect_that!(late, pat!(Spending::Ask(anything())));
+    expect_that!(late, pat!(Spending::Borrow(anything())));
 }
 
 prop_compose! {
@@ -471,15 +471,17 @@
     fn take(&mut self, id: u64, place: Place, now: Duration) {
         match place {
             Place::Granted => self.granted.push((id, now)),
-            Place::Spent(wait) => self.refused.push((id, wait)),
-            Place::Waits(waiting, look) => self.waiting.push((id, waiting, look)),
+            Place::Exhausted(wait) => self.refused.push((id, wait)),
+            Place::Queued(waiting, look) => self.waiting.push((id, waiting, look)),
         }
     }
 
     /// One operation whose caller can wait so long.
     fn arrive(&mut self, wait: Duration, now: Duration) -> u64 {
         self.next += 1;
-        let place = self.lender.queue(&WORKSPACE.into(), self.limit, wait, now);
+        let place = self
+            .lender
+            .enqueue(&WORKSPACE.into(), self.limit, wait, now);
         self.take(self.next, place, now);
         self.next
     }
@@ -493,7 +495,7 @@
             }
             let place = self
                 .lender
-                .turn(&WORKSPACE.into(), self.limit, waiting, now);
+                .poll(&WORKSPACE.into(), self.limit, waiting, now);
             self.take(id, place, now);
         }
     }
@@ -570,7 +572,7 @@
     }
     // Half of the callers go away.
     for (_, waiting, _) in desk.waiting.drain(..6) {
-        desk.lender.leave(WORKSPACE, waiting);
+        desk.lender.cancel(WORKSPACE, waiting);
     }
     desk.limit = Limit::new(10, 1, 0);
     for ms in 1..300 {
@@ -584,15 +586,15 @@
 #[gtest]
 fn a_box_asks_a_full_line_no_second_time_at_once() {
     let mut purse = Purse::default();
-    expect_that!(purse.refuse(at(0)), none());
-    purse.note_full(Duration::from_millis(160), at(0));
-    let told: Vec<Duration> = (0..3).filter_map(|_| purse.refuse(at(1))).collect();
+    expect_that!(purse.refusal_wait(at(0)), none());
+    purse.record_full_queue(Duration::from_millis(160), at(0));
+    let told: Vec<Duration> = (0..3).filter_map(|_| purse.refusal_wait(at(1))).collect();
     let ms = Duration::from_millis;
     expect_that!(
         told,
         elements_are![eq(&ms(160)), eq(&ms(170)), eq(&ms(180))]
     );
-    expect_that!(purse.refuse(at(101)), none());
+    expect_that!(purse.refusal_wait(at(101)), none());
 }
 
 proptest! {
