--- a/src/decisions/classify.rs
+++ b/src/decisions/classify.rs
@@ -50,9 +50,9 @@
 pub struct Class {
     pub kind: Kind,
     /// Kind of read by hint.
-    pub read: Option<Arc<str>>,
+    pub read_kind: Option<Arc<str>>,
     /// Key by hint, of a request that must run at most once.
-    pub once: Option<Arc<str>>,
+    pub once_key: Option<Arc<str>>,
     /// Tables named, lower case, without schema.
     pub tables: BTreeSet<Arc<str>>,
     pub command: Command,
@@ -80,19 +80,19 @@
     fn of(kind: Kind) -> Self {
         Self {
             kind,
-            read: None,
-            once: None,
+            read_kind: None,
+            once_key: None,
             tables: BTreeSet::new(),
             command: Command::None,
         }
     }
 
     /// The stricter of two that run together.
-    pub fn join(mut self, other: Class) -> Class {
-        let same = self.read == other.read;
+    pub fn combine(mut self, other: Class) -> Class {
+        let same = self.read_kind == other.read_kind;
         self.kind = self.kind.max(other.kind);
-        self.read = self.read.filter(|_| same);
-        self.once = self.once.or(other.once);
+        self.read_kind = self.read_kind.filter(|_| same);
+        self.once_key = self.once_key.or(other.once_key);
         self.tables.extend(other.tables);
         if let Command::Refuse { .. } = other.command {
             self.command = other.command;
@@ -129,14 +129,14 @@
         Ok(statements) => statements
             .iter()
             .map(one)
-            .reduce(Class::join)
+            .reduce(Class::combine)
             .unwrap_or(Class::of(Kind::Read)),
         Err(_) => Class::of(Kind::Write),
     };
     for (name, value) in hints(sql) {
         match name {
-            "kind" => class.read = Some(value.into()),
-            "once" => class.once = Some(value.into()),
+            "kind" => class.read_kind = Some(value.into()),
+            "once" => class.once_key = Some(value.into()),
             _ => {}
         }
     }
--- a/src/decisions/floors.rs
+++ b/src/decisions/floors.rs
@@ -18,12 +18,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Scope {
     /// The declared kind of read.
-    pub declared: Option<Arc<str>>,
+    pub read_kind: Option<Arc<str>>,
     /// The same, where it is kept apart.
-    pub kind: Option<Arc<str>>,
+    pub separate_kind: Option<Arc<str>>,
     pub tables: BTreeSet<Arc<str>>,
     /// Only ends a transaction.
-    pub ends: bool,
+    pub ends_transaction: bool,
 }
 
 /// The floors of one session.
@@ -53,7 +53,7 @@
     /// Floor for an exchange; none while it is unknown.
     pub fn floor_for(&self, scope: &Scope) -> Option<Position> {
         let base = self.base?;
-        let Some(kind) = &scope.kind else {
+        let Some(kind) = &scope.separate_kind else {
             let own = self.tables.values().copied();
             return Some(own.fold(base.join(self.reads), Position::join));
         };
@@ -89,7 +89,7 @@
             self.base = Some(position);
             return;
         }
-        match &scope.kind {
+        match &scope.separate_kind {
             None => self.reads = self.reads.join(position),
             Some(_) if !replica => {}
             Some(kind) => {
@@ -101,7 +101,7 @@
 
     /// A statement that may write was run in a transaction that is still open.
     pub fn record_pending_write(&mut self, scope: &Scope) {
-        if scope.ends {
+        if scope.ends_transaction {
             return;
         }
         let before = match self.record_pending_write {
--- a/src/decisions/setup.rs
+++ b/src/decisions/setup.rs
@@ -31,7 +31,7 @@
 
 impl Fitting {
     /// Steps that bring the connection to `setup`, in their order.
-    pub fn steps(&self, setup: &Setup) -> Vec<Step> {
+    pub fn steps_to(&self, setup: &Setup) -> Vec<Step> {
         let mut steps = Vec::new();
         let foreign = |name: &Arc<str>| !setup.values.contains_key(name);
         let fresh = Self::default();
@@ -59,7 +59,7 @@
     }
 
     /// Takes a step that the member has done.
-    pub fn done(&mut self, step: &Step) {
+    pub fn record(&mut self, step: &Step) {
         match step {
             Step::Reset => *self = Self::default(),
             Step::Set { name, value } => {
@@ -73,7 +73,7 @@
     }
 
     /// The member does not know a statement that was prepared.
-    pub fn forget(&mut self, prepared: &Prepared) {
+    pub fn forget_prepared(&mut self, prepared: &Prepared) {
         self.prepared.remove(&prepared.name);
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -91,7 +91,7 @@
 impl Metrics {
     /// A statement was answered after `took`.
     pub fn answered(&self, outcome: &'static str, scope: &Scope, took: Duration) {
-        let kind = scope.declared.as_deref().unwrap_or("none").to_owned();
+        let kind = scope.read_kind.as_deref().unwrap_or("none").to_owned();
         let labels = [
             KeyValue::new("kind", kind),
             KeyValue::new("outcome", outcome),
--- a/src/node/serving.rs
+++ b/src/node/serving.rs
@@ -111,9 +111,9 @@
         Access::Bounded => Some("bounded".into()),
     };
     Scope {
-        declared: kind.clone(),
-        kind,
-        ends: intent.commits,
+        read_kind: kind.clone(),
+        separate_kind: kind,
+        ends_transaction: intent.commits,
         ..Scope::default()
     }
 }
--- a/src/node/session.rs
+++ b/src/node/session.rs
@@ -259,7 +259,7 @@
         if exchange.effect == Effect::Writes {
             return metrics.writes.add(1, &[]);
         }
-        let kind = scope.declared.as_deref().unwrap_or("none").to_owned();
+        let kind = scope.read_kind.as_deref().unwrap_or("none").to_owned();
         let labels = [KeyValue::new("kind", kind)];
         match reply.server {
             Server::Replica => metrics.reads_by_replica.add(1, &labels),
--- a/src/platform/upstream.rs
+++ b/src/platform/upstream.rs
@@ -156,7 +156,7 @@
         if reply.error.is_some() {
             return Ok(Some(reply));
         }
-        self.fitting.done(step);
+        self.fitting.record(step);
         Ok(None)
     }
 
@@ -186,7 +186,7 @@
         };
         let mut begun = false;
         if let Some(setup) = task.setup {
-            for step in self.fitting.steps(setup) {
+            for step in self.fitting.steps_to(setup) {
                 if let Some(refused) = self.prepare(&step, &floor).await? {
                     return Ok(self.typed(refused));
                 }
@@ -204,7 +204,7 @@
         if reply.error.as_deref() == Some("NOSTMT")
             && let Some(prepared) = task.setup.and_then(|setup| setup.prepared.as_ref())
         {
-            self.fitting.forget(prepared);
+            self.fitting.forget_prepared(prepared);
         }
         Ok(self.typed(reply))
     }
--- a/src/postgres/session.rs
+++ b/src/postgres/session.rs
@@ -66,7 +66,7 @@
     fn join(&mut self, class: Rc<Class>) {
         self.class = Some(match self.class.take() {
             Some(before) if Rc::ptr_eq(&before, &class) => before,
-            Some(before) => Rc::new(Class::clone(&before).join(Class::clone(&class))),
+            Some(before) => Rc::new(Class::clone(&before).combine(Class::clone(&class))),
             None => class,
         });
     }
@@ -405,10 +405,10 @@
         let apart = kind.filter(|kind| kind.own_writes == OwnWrites::Tables);
         let covered = |kind: &&Read| class.tables.iter().all(|t| kind.tables.contains(t));
         let scope = Scope {
-            declared: kind.map(|kind| kind.name.clone()),
-            kind: apart.filter(covered).map(|kind| kind.name.clone()),
+            read_kind: kind.map(|kind| kind.name.clone()),
+            separate_kind: apart.filter(covered).map(|kind| kind.name.clone()),
             tables: class.tables.clone(),
-            ends: class.kind == Kind::End,
+            ends_transaction: class.kind == Kind::End,
         };
         let exchange = Exchange {
             workspace: None,
@@ -437,7 +437,7 @@
 
     /// The declared kind of a read: by hint, by setting, or by its tables.
     fn read_kind<'a>(&self, plan: &'a Plan, class: &Class) -> Option<&'a Read> {
-        let named = class.read.as_ref().or(self.kind.as_ref());
+        let named = class.read_kind.as_ref().or(self.kind.as_ref());
         let by_name = named.and_then(|name| plan.reads.iter().find(|read| read.name == *name));
         let by_tables = || {
             let all = |read: &&Read| {
@@ -458,7 +458,7 @@
         if effect != Effect::Writes || class.kind != Kind::Write {
             return Ok(None);
         }
-        let key = class.once.clone().or_else(|| self.once.take());
+        let key = class.once_key.clone().or_else(|| self.once.take());
         let ruled = plan
             .onces
             .iter()
--- a/tests/unit/classify.rs
+++ b/tests/unit/classify.rs
@@ -31,8 +31,8 @@
 #[gtest]
 fn hints_name_the_kind_and_the_key() {
     let class = classify("/* larkfall: kind=panel once=sale-17 */ SELECT 1");
-    expect_that!(class.read.as_deref(), some(eq("panel")));
-    expect_that!(class.once.as_deref(), some(eq("sale-17")));
+    expect_that!(class.read_kind.as_deref(), some(eq("panel")));
+    expect_that!(class.once_key.as_deref(), some(eq("sale-17")));
 }
 
 #[gtest]
--- a/tests/unit/floors.rs
+++ b/tests/unit/floors.rs
@@ -8,7 +8,7 @@
 
 fn scope(kind: Option<&str>, tables: &[&str]) -> Scope {
     Scope {
-        kind: kind.map(Into::into),
+        separate_kind: kind.map(Into::into),
         tables: tables.iter().map(|table| (*table).into()).collect(),
         ..Scope::default()
     }
--- a/tests/unit/setup.rs
+++ b/tests/unit/setup.rs
@@ -25,8 +25,8 @@
 
 fn fitted(setup: &Setup) -> Fitting {
     let mut fitting = Fitting::default();
-    for step in fitting.steps(setup) {
-        fitting.done(&step);
+    for step in fitting.steps_to(setup) {
+        fitting.record(&step);
     }
     fitting
 }
@@ -35,11 +35,11 @@
 fn a_connection_is_brought_to_the_sessions_values_and_no_others() {
     let first = setup(&[("lang", "es")], Some("p1"));
     let fitting = fitted(&first);
-    expect_that!(fitting.steps(&first), is_empty());
+    expect_that!(fitting.steps_to(&first), is_empty());
     let more = setup(&[("lang", "es"), ("zone", "a")], Some("p1"));
-    expect_that!(fitting.steps(&more).len(), eq(1));
+    expect_that!(fitting.steps_to(&more).len(), eq(1));
     let other = setup(&[("zone", "a")], Some("p1"));
-    let steps = fitting.steps(&other);
+    let steps = fitting.steps_to(&other);
     expect_that!(steps[0], eq(&Step::Reset));
     // A reset drops what was prepared.
     expect_that!(steps.len(), eq(3));
@@ -52,7 +52,7 @@
         begin: Begin::ReadOnly,
         id: "7".into(),
     });
-    let steps = Fitting::default().steps(&with_begin);
+    let steps = Fitting::default().steps_to(&with_begin);
     expect_that!(steps.last(), some(matches_pattern!(Step::Open(_))));
 }
 
@@ -60,8 +60,8 @@
 fn a_statement_that_a_member_forgot_is_prepared_again() {
     let first = setup(&[], Some("p1"));
     let mut fitting = fitted(&first);
-    fitting.forget(first.prepared.as_ref().expect("prepared"));
-    expect_that!(fitting.steps(&first).len(), eq(1));
+    fitting.forget_prepared(first.prepared.as_ref().expect("prepared"));
+    expect_that!(fitting.steps_to(&first).len(), eq(1));
 }
 
 fn ballot(replaced: u64, turn: u64) -> Ballot {
