--- a/examples/queue.rs
+++ b/examples/queue.rs
@@ -4,15 +4,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use larkfall::decisions::fair::Fair;
+use larkfall::decisions::fair::Queue;
 
 const ROUNDS: u64 = 200;
 const WAITING: [u64; 3] = [10, 1_000, 100_000];
 const FAR: Duration = Duration::from_secs(1_000_000);
 
 /// A queue of one place in which this many requests wait.
-fn filled(waiting: u64, partner: &Arc<str>) -> Fair {
-    let mut fair = Fair::new(1, Duration::from_nanos(1));
+fn filled(waiting: u64, partner: &Arc<str>) -> Queue {
+    let mut fair = Queue::new(1, Duration::from_nanos(1));
     for id in 0..=waiting {
         fair.admit(id, partner, 1, Duration::ZERO, FAR);
     }
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -16,6 +16,6 @@
 pub mod reach;
 pub mod readers;
 pub mod replace;
-pub mod returns;
+pub mod retry_after;
 pub mod route;
 pub mod setup;
--- a/src/decisions/fair.rs
+++ b/src/decisions/fair.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::returns::Returns;
+use super::retry_after::Schedule;
 
 /// By how much a tag grows with a request of weight 1.
 const SCALE: u64 = 1_000_000;
@@ -50,14 +50,14 @@
 
 /// Until when a request is worth an answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Due {
+pub struct Deadlines {
     /// Answered later, it is late.
     pub soft: Duration,
     /// Answered later, it is lost.
     pub hard: Duration,
 }
 
-impl From<Duration> for Due {
+impl From<Duration> for Deadlines {
     /// One that is on time until it is lost.
     fn from(limit: Duration) -> Self {
         Self {
@@ -82,7 +82,7 @@
 struct Waiter {
     id: u64,
     partner: Arc<str>,
-    due: Due,
+    due: Deadlines,
     /// When it is refused, or becomes late.
     deadline: Duration,
 }
@@ -97,7 +97,7 @@
 
 /// A queue before `capacity` places.
 #[derive(Clone, Debug)]
-pub struct Fair {
+pub struct Queue {
     capacity: usize,
     /// Running requests and resting transactions at once.
     connections: usize,
@@ -113,7 +113,7 @@
     /// Share of the places that became free of late and went to one on time: what is left is
     /// for late ones.
     taken: f64,
-    returns: Returns,
+    returns: Schedule,
     /// Time of the last event that told it.
     clock: Duration,
     waiting: BTreeMap<Turn, Waiter>,
@@ -130,7 +130,7 @@
     run: Option<Duration>,
 }
 
-impl Fair {
+impl Queue {
     pub fn new(capacity: usize, service: Duration) -> Self {
         Self {
             capacity,
@@ -141,7 +141,7 @@
             late: 0,
             stalled: None,
             taken: 0.0,
-            returns: Returns::default(),
+            returns: Schedule::default(),
             clock: Duration::ZERO,
             waiting: BTreeMap::new(),
             turns: HashMap::new(),
@@ -212,7 +212,7 @@
         partner: &Arc<str>,
         weight: u32,
         now: Duration,
-        due: impl Into<Due>,
+        due: impl Into<Deadlines>,
     ) -> Admission {
         let due = due.into();
         self.clock = now;
@@ -240,7 +240,7 @@
     /// Whether a request that can't be on time can be answered before its limit. A line of
     /// late ones that has not moved for some time will not move within a shorter one, and it
     /// moves by what those on time leave.
-    fn may_wait_late(&self, due: Due, now: Duration) -> bool {
+    fn may_wait_late(&self, due: Deadlines, now: Duration) -> bool {
         let queue = self.service * (self.waiting.len() as u32 + 1) / self.late_places() as u32;
         let left = 1.0 - self.taken;
         if left < LEAST_LEFT {
@@ -258,10 +258,10 @@
     pub fn schedule_retry(&mut self, now: Duration) -> Duration {
         let gap = self.service / self.slots() as u32;
         let queue = gap * (self.waiting.len() as u32 + 1);
-        self.returns.promise(queue, gap, now)
+        self.returns.reserve(queue, gap, now)
     }
 
-    fn enqueue_late(&mut self, id: u64, partner: Arc<str>, due: Due) {
+    fn enqueue_late(&mut self, id: u64, partner: Arc<str>, due: Deadlines) {
         self.sequence += 1;
         let limit = u64::try_from(due.hard.as_micros()).unwrap_or(u64::MAX);
         self.late += 1;
@@ -281,7 +281,7 @@
         self.waiting.insert(turn, waiter);
     }
 
-    fn enqueue(&mut self, id: u64, partner: &Arc<str>, weight: u32, due: Due) {
+    fn enqueue(&mut self, id: u64, partner: &Arc<str>, weight: u32, due: Deadlines) {
         if self.lines.len() >= MOST_LINES {
             self.lines.retain(|_, line| line.waiting > 0);
         }
--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -25,7 +25,7 @@
 use super::detect::Detector;
 use super::detect::baseline::Baseline;
 use super::duty::Ballot;
-use super::fair::{Admission, Due, Fair};
+use super::fair::{Admission, Deadlines, Queue};
 use super::latency::Latency;
 use super::owners::{LEAST_SHARE, share};
 use super::position::Position;
@@ -62,7 +62,7 @@
     probes: u32,
     probed: Option<Duration>,
     wanted: bool,
-    fair: Fair,
+    fair: Queue,
     latency: Latency,
     /// It reports that it is a replica.
     demoted: bool,
@@ -118,7 +118,7 @@
             probes: 0,
             probed: None,
             wanted: false,
-            fair: Fair::new(capacity, settings.service),
+            fair: Queue::new(capacity, settings.service),
             latency: Latency::new(settings.service),
             demoted: false,
             kept: None,
--- a/src/decisions/group/placing.rs
+++ b/src/decisions/group/placing.rs
@@ -321,7 +321,7 @@
         let fresh = now < request.arrived + FRESH || self.settings.serve_late;
         let aim = request.aim.filter(|_| fresh);
         let limit = request.deadline;
-        let due = Due {
+        let due = Deadlines {
             soft: aim.map_or(limit, |aim| limit.min(request.arrived + aim)),
             // Without late answers, all that passes the aim is refused.
             hard: limit,
--- a/src/decisions/limit.rs
+++ b/src/decisions/limit.rs
@@ -23,9 +23,9 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::returns::Returns;
+use super::retry_after::Schedule;
 use crate::borders::roster::Listing;
-pub use lender::{Lender, Place, Waiting};
+pub use lender::{Decision, Lender, Ticket};
 pub use line::{Line, Turns};
 
 /// Lenders of a workspace, at least: with one of three lost, two thirds of the limit are
@@ -43,7 +43,7 @@
 const MOST_ASKED: u32 = 256;
 /// Time for which a lender that did not answer is not asked: operations that come meanwhile
 /// need not wait for it too.
-pub const SILENT: Duration = Duration::from_millis(500);
+pub const LENDER_COOLDOWN: Duration = Duration::from_millis(500);
 /// Time for which a lender whose line was full is not asked for a turn: a workspace far beyond
 /// its limit would otherwise cost its lenders a question for each operation.
 const FULL: Duration = Duration::from_millis(100);
@@ -171,7 +171,7 @@
 
 /// What a borrower holds of one workspace's operations.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Purse {
+pub struct Allowance {
     tokens: u32,
     /// When what it holds lapses.
     until: Duration,
@@ -181,7 +181,7 @@
     full_until: Duration,
     /// What callers are told meanwhile.
     told: Duration,
-    returns: Returns,
+    returns: Schedule,
     /// Operations seen since `since`.
     seen: u32,
     since: Duration,
@@ -199,7 +199,7 @@
     Borrow(u32),
 }
 
-impl Purse {
+impl Allowance {
     /// Counts an operation that wants to be let through.
     pub fn record_operation(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.since);
@@ -245,7 +245,7 @@
     pub fn refusal_wait(&mut self, now: Duration) -> Option<Duration> {
         let gap = self.told / SPREAD;
         let full = now < self.full_until;
-        full.then(|| self.returns.promise(self.told, gap, now))
+        full.then(|| self.returns.reserve(self.told, gap, now))
     }
 
     /// Whether it says nothing that a new one would not.
--- a/src/decisions/limit/lender.rs
+++ b/src/decisions/limit/lender.rs
@@ -6,7 +6,7 @@
 
 use super::{Bucket, LEAST_RETRY, Limit, Line, Loan, MOST_RETRY, lenders};
 use crate::borders::roster::Listing;
-use crate::decisions::returns::Returns;
+use crate::decisions::retry_after::Schedule;
 
 /// Time after which one that waits looks whether it still does: it is told to come back soon
 /// after it has lost its place.
@@ -14,7 +14,7 @@
 
 /// An operation that waits for its turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct Ticket {
     id: u64,
     /// Latest moment of its turn.
     end: Duration,
@@ -22,11 +22,11 @@
 
 /// What becomes of an operation whose limit is used up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Decision {
     /// It may run.
     Granted,
     /// Its turn is expected at this moment.
-    Queued(Waiting, Duration),
+    Queued(Ticket, Duration),
     /// Its turn would come too late; worth another try after this time.
     Exhausted(Duration),
 }
@@ -36,7 +36,7 @@
 struct Account {
     bucket: Bucket,
     line: Line,
-    returns: Returns,
+    returns: Schedule,
 }
 
 /// A box as a lender.
@@ -67,7 +67,7 @@
         account.or_insert_with(|| Account {
             bucket: Bucket::new(part, since, now),
             line: Line::default(),
-            returns: Returns::default(),
+            returns: Schedule::default(),
         })
     }
 
@@ -89,17 +89,17 @@
         part: Limit,
         wait: Duration,
         now: Duration,
-    ) -> Place {
+    ) -> Decision {
         self.next += 1;
         let id = self.next;
         let end = now + wait;
         let account = self.account(workspace, part, now);
         if account.line.is_empty() && account.bucket.take(part, 1, now) == Loan::Granted(1) {
-            return Place::Granted;
+            return Decision::Granted;
         }
         let turns = account.bucket.turns(part, now);
         if account.line.join(id, end, turns) {
-            return account.waits(Waiting { id, end }, part, now);
+            return account.waits(Ticket { id, end }, part, now);
         }
         account.spent(part, now)
     }
@@ -109,16 +109,16 @@
         &mut self,
         workspace: &Arc<str>,
         part: Limit,
-        waiting: Waiting,
+        waiting: Ticket,
         now: Duration,
-    ) -> Place {
+    ) -> Decision {
         let account = self.account(workspace, part, now);
         let Some(place) = account.line.place(waiting.id, waiting.end) else {
             return account.spent(part, now);
         };
         if place == 0 && account.bucket.take(part, 1, now) == Loan::Granted(1) {
             account.line.leave(waiting.id, waiting.end);
-            return Place::Granted;
+            return Decision::Granted;
         }
         if now < waiting.end {
             return account.waits(waiting, part, now);
@@ -129,7 +129,7 @@
     }
 
     /// An operation does not wait any more.
-    pub fn cancel(&mut self, workspace: &str, waiting: Waiting) {
+    pub fn cancel(&mut self, workspace: &str, waiting: Ticket) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.line.leave(waiting.id, waiting.end);
         }
@@ -137,19 +137,19 @@
 }
 
 impl Account {
-    fn waits(&mut self, waiting: Waiting, part: Limit, now: Duration) -> Place {
+    fn waits(&mut self, waiting: Ticket, part: Limit, now: Duration) -> Decision {
         let turns = self.bucket.turns(part, now);
         let place = self.line.place(waiting.id, waiting.end);
         let turn = turns.of(place.unwrap_or_default());
-        Place::Queued(waiting, turn.clamp(now + LEAST_RETRY, now + LOOK))
+        Decision::Queued(waiting, turn.clamp(now + LEAST_RETRY, now + LOOK))
     }
 
     /// Tells one that does not wait when to come back: after those that do, and after those
     /// that were told before.
-    fn spent(&mut self, part: Limit, now: Duration) -> Place {
+    fn spent(&mut self, part: Limit, now: Duration) -> Decision {
         let turns = self.bucket.turns(part, now);
         let queue = turns.of(self.line.len()) - now;
-        let wait = self.returns.promise(queue, turns.gap, now);
-        Place::Exhausted(wait.clamp(LEAST_RETRY, MOST_RETRY))
+        let wait = self.returns.reserve(queue, turns.gap, now);
+        Decision::Exhausted(wait.clamp(LEAST_RETRY, MOST_RETRY))
     }
 }
--- a/src/decisions/returns.rs
+++ b/src/decisions/retry_after.rs
@@ -12,15 +12,15 @@
 
 /// Promised moments before one queue.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Returns {
+pub struct Schedule {
     /// The first moment that was promised to nobody.
     free: Duration,
 }
 
-impl Returns {
+impl Schedule {
     /// Time for a caller refused now to wait: at least `wait`, in which those that wait are
     /// served; `gap` is the time in which one place becomes free.
-    pub fn promise(&mut self, wait: Duration, gap: Duration, now: Duration) -> Duration {
+    pub fn reserve(&mut self, wait: Duration, gap: Duration, now: Duration) -> Duration {
         let at = self.free.max(now + wait).min(now + LONGEST.max(wait));
         self.free = at + gap;
         at - now
--- a/src/decisions/setup.rs
+++ b/src/decisions/setup.rs
@@ -24,12 +24,12 @@
 
 /// What a connection carries from earlier statements.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Fitting {
+pub struct State {
     values: Values,
     prepared: HashSet<Arc<str>>,
 }
 
-impl Fitting {
+impl State {
     /// Steps that bring the connection to `setup`, in their order.
     pub fn steps_to(&self, setup: &Setup) -> Vec<Step> {
         let mut steps = Vec::new();
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -16,7 +16,7 @@
 use crate::borders::roster::Listing;
 use crate::decisions::group::{Reason, Refusal};
 use crate::decisions::limit::{
-    Lender, Limit, Loan, Place, Purse, SILENT, Spending, Waiting, lenders,
+    Allowance, Decision, LENDER_COOLDOWN, Lender, Limit, Loan, Spending, Ticket, lenders,
 };
 use crate::declarations::resource::Workspace;
 use crate::declarations::snapshot::group_id;
@@ -60,7 +60,7 @@
 #[derive(Default)]
 pub struct Limits {
     /// What is lent to this box, by workspace.
-    purses: RefCell<HashMap<Arc<str>, Purse>>,
+    purses: RefCell<HashMap<Arc<str>, Allowance>>,
     asked: RefCell<HashMap<Arc<str>, Asked>>,
     /// Until when there is no use in asking a lender for a workspace. Owners that are slow
     /// with a read say nothing of a lender: shunned as those are, 81 of 494 operations of a
@@ -119,7 +119,7 @@
             .purse(&id, self.now(), |purse, now| purse.record_operation(now));
         loop {
             let waiting = self.limits.waiting(&id);
-            let spend = |purse: &mut Purse, now| purse.spend(waiting, now);
+            let spend = |purse: &mut Allowance, now| purse.spend(waiting, now);
             let wanted = match self.limits.purse(&id, self.now(), spend) {
                 Spending::Paid => return Ok(Admitted::AtOnce),
                 Spending::Exhausted(_) if self.settings.limit_waits => {
@@ -145,7 +145,7 @@
         limit: Limit,
         wait: Duration,
     ) -> Result<Admitted, Refusal> {
-        let told = self.limits.purse(id, self.now(), Purse::refusal_wait);
+        let told = self.limits.purse(id, self.now(), Allowance::refusal_wait);
         if let Some(told) = told {
             return Err(Refusal::new(Reason::Limit, told));
         }
@@ -170,10 +170,10 @@
                 }
                 None => self
                     .limits
-                    .note_lender(id, &lender.name, self.now() + SILENT),
+                    .note_lender(id, &lender.name, self.now() + LENDER_COOLDOWN),
             }
         }
-        Err(Refusal::new(Reason::Limit, SILENT))
+        Err(Refusal::new(Reason::Limit, LENDER_COOLDOWN))
     }
 
     /// The boxes that lend for a workspace, that of the own failure domain first.
@@ -200,7 +200,7 @@
                         within: None,
                     };
                     let loan = self.ask(lender, question).await;
-                    loan.unwrap_or(Loan::Spent(SILENT))
+                    loan.unwrap_or(Loan::Spent(LENDER_COOLDOWN))
                 }
             };
             let Loan::Spent(wait) = loan else {
@@ -212,7 +212,7 @@
             }
             soonest = Some(soonest.map_or(wait, |known| known.min(wait)));
         }
-        Loan::Spent(soonest.unwrap_or(SILENT))
+        Loan::Spent(soonest.unwrap_or(LENDER_COOLDOWN))
     }
 
     /// A lender's answer, none where it gives none.
@@ -236,9 +236,9 @@
         };
         let place = self.limits.lender.borrow_mut().enqueue(id, part, wait, now);
         let (waiting, mut turn) = match place {
-            Place::Queued(waiting, turn) => (waiting, turn),
-            Place::Granted => return Some(Loan::Granted(1)),
-            Place::Exhausted(wait) => return Some(Loan::Spent(wait)),
+            Decision::Queued(waiting, turn) => (waiting, turn),
+            Decision::Granted => return Some(Loan::Granted(1)),
+            Decision::Exhausted(wait) => return Some(Loan::Spent(wait)),
         };
         let _in_line = InLine {
             limits: &self.limits,
@@ -251,9 +251,9 @@
             let now = self.now();
             let place = self.limits.lender.borrow_mut().poll(id, part, waiting, now);
             match place {
-                Place::Queued(_, next) => turn = next,
-                Place::Granted => return Some(Loan::Granted(1)),
-                Place::Exhausted(wait) => return Some(Loan::Spent(wait)),
+                Decision::Queued(_, next) => turn = next,
+                Decision::Granted => return Some(Loan::Granted(1)),
+                Decision::Exhausted(wait) => return Some(Loan::Spent(wait)),
             }
         }
     }
@@ -281,7 +281,7 @@
 struct InLine<'a> {
     limits: &'a Limits,
     id: &'a str,
-    waiting: Waiting,
+    waiting: Ticket,
 }
 
 impl Drop for InLine<'_> {
@@ -326,7 +326,7 @@
         &self,
         id: &Arc<str>,
         now: Duration,
-        act: impl FnOnce(&mut Purse, Duration) -> T,
+        act: impl FnOnce(&mut Allowance, Duration) -> T,
     ) -> T {
         let mut purses = self.purses.borrow_mut();
         if purses.len() >= MANY_PURSES && !purses.contains_key(id) {
--- a/src/platform/upstream.rs
+++ b/src/platform/upstream.rs
@@ -15,7 +15,7 @@
     Verdict,
 };
 use crate::decisions::position::Position;
-use crate::decisions::setup::{Fitting, Step};
+use crate::decisions::setup::{State, Step};
 use crate::declarations::resource::Member;
 
 /// Who calls, as members are told, where it is no workspace.
@@ -48,7 +48,7 @@
     channel: Channel,
     position: Option<Position>,
     status: Status,
-    fitting: Fitting,
+    fitting: State,
     /// An answer is still out, or was cut short: never to be used again.
     spoilt: bool,
 }
@@ -69,7 +69,7 @@
             channel: Channel::new(stream.map_err(|error| lost(&error))?),
             position: None,
             status: Status::Idle,
-            fitting: Fitting::default(),
+            fitting: State::default(),
             spoilt: false,
         };
         let hello = format!("CONNECT {} {who} {}\r\n", member.group, member.name);
--- a/tests/unit/fair.rs
+++ b/tests/unit/fair.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use larkfall::decisions::fair::{Admission, Due, Fair};
+use larkfall::decisions::fair::{Admission, Deadlines, Queue};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -16,7 +16,7 @@
 
 #[gtest]
 fn a_flooding_partner_does_not_push_back_another() {
-    let mut fair = Fair::new(1, MS);
+    let mut fair = Queue::new(1, MS);
     let (flood, quiet) = (partner("a"), partner("b"));
     for id in 0..100 {
         fair.admit(id, &flood, 1, MS, MS * 10_000);
@@ -28,7 +28,7 @@
 
 #[gtest]
 fn weights_share_the_places() {
-    let mut fair = Fair::new(1, MS);
+    let mut fair = Queue::new(1, MS);
     for id in 0..300 {
         fair.admit(id, &partner("a"), 3, MS, MS * 10_000);
         fair.admit(1_000 + id, &partner("b"), 1, MS, MS * 10_000);
@@ -40,7 +40,7 @@
 
 #[gtest]
 fn who_would_wait_past_the_deadline_is_refused_at_once_with_the_time() {
-    let mut fair = Fair::new(1, MS * 10);
+    let mut fair = Queue::new(1, MS * 10);
     let a = partner("a");
     expect_that!(fair.admit(1, &a, 1, MS, MS * 100), eq(Admission::Run));
     expect_that!(fair.admit(2, &a, 1, MS, MS * 100), eq(Admission::Wait));
@@ -55,7 +55,7 @@
 
 #[gtest]
 fn the_late_are_taken_out_and_the_withdrawn_are_not_served() {
-    let mut fair = Fair::new(1, MS);
+    let mut fair = Queue::new(1, MS);
     let a = partner("a");
     for id in 0..4 {
         fair.admit(id, &a, 1, MS, MS * (10 * (id as u32 + 1)));
@@ -73,7 +73,7 @@
 /// transaction kept would stand empty while others wait.
 #[gtest]
 fn a_resting_transaction_keeps_its_connection_and_no_place() {
-    let mut fair = Fair::new(1, MS);
+    let mut fair = Queue::new(1, MS);
     fair.set_connection_limit(2);
     let a = partner("a");
     expect_that!(fair.admit(1, &a, 1, MS, MS * 100), eq(Admission::Run));
@@ -93,8 +93,8 @@
     expect_that!((fair.running(), fair.idle_transactions()), eq((0, 0)));
 }
 
-fn due(aim: u32, limit: u32) -> Due {
-    Due {
+fn due(aim: u32, limit: u32) -> Deadlines {
+    Deadlines {
         soft: MS * aim,
         hard: MS * limit,
     }
@@ -102,7 +102,7 @@
 
 #[gtest]
 fn who_cannot_be_on_time_waits_behind_those_who_can() {
-    let mut fair = Fair::new(2, MS * 10);
+    let mut fair = Queue::new(2, MS * 10);
     fair.set_serves_late(true);
     let a = partner("a");
     for id in [1, 2] {
@@ -125,7 +125,7 @@
 
 #[gtest]
 fn who_waits_past_its_aim_becomes_late_and_is_refused_only_at_its_limit() {
-    let mut fair = Fair::new(1, MS * 10);
+    let mut fair = Queue::new(1, MS * 10);
     fair.set_serves_late(true);
     let a = partner("a");
     fair.admit(1, &a, 1, MS, due(100, 500));
@@ -139,7 +139,7 @@
 /// A line of late ones that does not move takes nobody who would be refused at its limit.
 #[gtest]
 fn a_late_line_that_stands_still_refuses_at_once() {
-    let mut fair = Fair::new(1, MS * 10);
+    let mut fair = Queue::new(1, MS * 10);
     fair.set_serves_late(true);
     let a = partner("a");
     fair.admit(1, &a, 1, MS, due(100, 900));
@@ -155,7 +155,7 @@
 
 #[gtest]
 fn refused_callers_come_back_one_after_the_other() {
-    let mut fair = Fair::new(2, MS * 10);
+    let mut fair = Queue::new(2, MS * 10);
     fair.set_serves_late(true);
     let a = partner("a");
     for id in [1, 2] {
@@ -196,7 +196,7 @@
     const AIM: Duration = Duration::from_millis(150);
     const LIMIT: Duration = Duration::from_millis(760);
     let mut dice = SmallRng::seed_from_u64(seed);
-    let mut fair = Fair::new(4, MS * 10);
+    let mut fair = Queue::new(4, MS * 10);
     fair.set_serves_late(serves_late);
     let partners = [partner("orders"), partner("quotes")];
     let mut served = Served::default();
@@ -238,7 +238,7 @@
         }
         let id = u64::from(tick);
         arrived.insert(id, now);
-        let due = Due {
+        let due = Deadlines {
             soft: now + AIM,
             hard: now + LIMIT,
         };
@@ -326,7 +326,7 @@
         happenings in proptest::collection::vec(happening(), 1..120),
         serves_late in any::<bool>(),
     ) {
-        let mut fair = Fair::new(3, MS * 10);
+        let mut fair = Queue::new(3, MS * 10);
         fair.set_serves_late(serves_late);
         fair.set_connection_limit(5);
         let partners = ["a", "b", "c"].map(partner);
@@ -337,7 +337,7 @@
             let mut next = None;
             match happening {
                 Happening::Arrive { aim, more, partner } => {
-                    let due = Due { soft: now + MS * aim, hard: now + MS * (aim + more) };
+                    let due = Deadlines { soft: now + MS * aim, hard: now + MS * (aim + more) };
                     match fair.admit(id, &partners[partner], 1, now, due) {
                         Admission::Wait => { waiting.insert(id); }
                         _ => { prop_assert!(ended.insert(id)); }
--- a/tests/unit/limits.rs
+++ b/tests/unit/limits.rs
@@ -9,7 +9,7 @@
 use googletest::prelude::*;
 use larkfall::borders::roster::Listing;
 use larkfall::decisions::limit::{
-    Bucket, Lender, Limit, Loan, Place, Purse, SILENT, Spending, Waiting, lenders,
+    Allowance, Bucket, Decision, LENDER_COOLDOWN, Lender, Limit, Loan, Spending, Ticket, lenders,
 };
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
@@ -50,7 +50,7 @@
 
 #[derive(Default)]
 struct Node {
-    purse: Purse,
+    purse: Allowance,
     lender: Lender,
 }
 
@@ -158,7 +158,7 @@
         let parts = self.limit.part_count(lenders.len());
         lenders.truncate(parts);
         lenders.sort_by_key(|lender| lender.domain != caller.domain);
-        let mut soonest = SILENT;
+        let mut soonest = LENDER_COOLDOWN;
         for lender in lenders {
             if self.lost.contains(&lender.name) || !self.reaches(caller, lender) {
                 continue;
@@ -343,7 +343,7 @@
 
 #[gtest]
 fn what_was_lent_lapses() {
-    let mut purse = Purse::default();
+    let mut purse = Allowance::default();
     purse.record_loan(Loan::Granted(5), Duration::ZERO);
     expect_that!(purse.spend(0, Duration::ZERO), eq(Spending::Paid));
     let late = purse.spend(0, Duration::from_secs(1));
@@ -449,7 +449,7 @@
 struct Desk {
     lender: Lender,
     limit: Limit,
-    waiting: Vec<(u64, Waiting, Duration)>,
+    waiting: Vec<(u64, Ticket, Duration)>,
     next: u64,
     /// Who got a turn, and when.
     granted: Vec<(u64, Duration)>,
@@ -468,11 +468,11 @@
         }
     }
 
-    fn take(&mut self, id: u64, place: Place, now: Duration) {
+    fn take(&mut self, id: u64, place: Decision, now: Duration) {
         match place {
-            Place::Granted => self.granted.push((id, now)),
-            Place::Exhausted(wait) => self.refused.push((id, wait)),
-            Place::Queued(waiting, look) => self.waiting.push((id, waiting, look)),
+            Decision::Granted => self.granted.push((id, now)),
+            Decision::Exhausted(wait) => self.refused.push((id, wait)),
+            Decision::Queued(waiting, look) => self.waiting.push((id, waiting, look)),
         }
     }
 
@@ -585,7 +585,7 @@
 
 #[gtest]
 fn a_box_asks_a_full_line_no_second_time_at_once() {
-    let mut purse = Purse::default();
+    let mut purse = Allowance::default();
     expect_that!(purse.refusal_wait(at(0)), none());
     purse.record_full_queue(Duration::from_millis(160), at(0));
     let told: Vec<Duration> = (0..3).filter_map(|_| purse.refusal_wait(at(1))).collect();
--- a/tests/unit/setup.rs
+++ b/tests/unit/setup.rs
@@ -7,7 +7,7 @@
 use larkfall::borders::upstream::{Begin, Opening, Prepared, Setup};
 use larkfall::decisions::duty::{Ballot, Claim, Duty, taken};
 use larkfall::decisions::latency::Latency;
-use larkfall::decisions::setup::{Fitting, Step};
+use larkfall::decisions::setup::{State, Step};
 
 fn setup(values: &[(&str, &str)], prepared: Option<&str>) -> Setup {
     let values = values
@@ -23,8 +23,8 @@
     }
 }
 
-fn fitted(setup: &Setup) -> Fitting {
-    let mut fitting = Fitting::default();
+fn fitted(setup: &Setup) -> State {
+    let mut fitting = State::default();
     for step in fitting.steps_to(setup) {
         fitting.record(&step);
     }
@@ -52,7 +52,7 @@
         begin: Begin::ReadOnly,
         id: "7".into(),
     });
-    let steps = Fitting::default().steps_to(&with_begin);
+    let steps = State::default().steps_to(&with_begin);
     expect_that!(steps.last(), some(matches_pattern!(Step::Open(_))));
 }
 
