--- a/examples/queue.rs
+++ b/examples/queue.rs
@@ -1,4 +1,4 @@
-//! What one decision about a queue costs with few and many requests waiting in it:
+//! Measures the cost of operations on the fair queue with few and many waiting requests:
 //! `cargo run --release --example queue`.
 
 use std::sync::Arc;
@@ -8,19 +8,19 @@
 
 const ROUNDS: u64 = 200;
 const WAITING: [u64; 3] = [10, 1_000, 100_000];
-const FAR: Duration = Duration::from_secs(1_000_000);
+const DEADLINE: Duration = Duration::from_secs(1_000_000);
 
-/// A queue of one place in which this many requests wait.
-fn filled(waiting: u64, partner: &Arc<str>) -> Queue {
-    let mut fair = Queue::new(1, Duration::from_nanos(1));
+/// Returns a queue with one slot in which `waiting` requests wait.
+fn filled_queue(waiting: u64, partner: &Arc<str>) -> Queue {
+    let mut queue = Queue::new(1, Duration::from_nanos(1));
     for id in 0..=waiting {
-        fair.admit(id, partner, 1, Duration::ZERO, FAR);
+        queue.admit(id, partner, 1, Duration::ZERO, DEADLINE);
     }
-    fair
+    queue
 }
 
-/// Nanoseconds that one call takes on the average.
-fn each(mut call: impl FnMut(u64)) -> u128 {
+/// Returns the average time of one call in nanoseconds.
+fn mean_ns(mut call: impl FnMut(u64)) -> u128 {
     let began = Instant::now();
     for round in 0..ROUNDS {
         call(round);
@@ -30,21 +30,21 @@
 
 fn main() {
     let partner: Arc<str> = "a".into();
-    println!("waiting  arrive and withdraw the last  expire, nobody late  release");
+    println!("waiting  admit and remove the last one  expire, none overdue   finish");
     for waiting in WAITING {
-        let mut fair = filled(waiting, &partner);
-        let withdraw = each(|round| {
+        let mut queue = filled_queue(waiting, &partner);
+        let remove = mean_ns(|round| {
             let id = 1_000_000 + round;
-            fair.admit(id, &partner, 1, Duration::ZERO, FAR);
-            fair.remove(id);
+            queue.admit(id, &partner, 1, Duration::ZERO, DEADLINE);
+            queue.remove(id);
         });
-        let expire = each(|_| {
-            fair.expire(Duration::ZERO);
+        let expire = mean_ns(|_| {
+            queue.expire(Duration::ZERO);
         });
-        let release = each(|round| {
-            fair.finish(Duration::from_nanos(1));
-            fair.admit(2_000_000 + round, &partner, 1, Duration::ZERO, FAR);
+        let finish = mean_ns(|round| {
+            queue.finish(Duration::from_nanos(1));
+            queue.admit(2_000_000 + round, &partner, 1, Duration::ZERO, DEADLINE);
         });
-        println!("{waiting:7}  {withdraw:26} ns  {expire:17} ns  {release:4} ns");
+        println!("{waiting:7}  {remove:26} ns  {expire:17} ns  {finish:4} ns");
     }
 }
--- a/src/decisions/retry_after.rs
+++ b/src/decisions/retry_after.rs
@@ -1,28 +1,29 @@
-//! When callers that were refused may come back.
+//! Retry times for refused requests.
 //!
-//! The load it answers: more requests than a queue can serve, refused at once. Told the same
-//! time, all of them would come back together and be refused together. So each is told the
-//! moment after the one before, as far apart as places become free: they come back in the
-//! order in which they were refused, and find room.
+//! Callers that were all refused with the same retry time would come back together and be
+//! refused again. Each caller therefore gets the time after the one before, spaced at the rate
+//! at which slots become free, so that callers return in the order in which they were refused.
 
 use std::time::Duration;
 
-/// The longest that a caller is told to wait: the load is another one by then.
-const LONGEST: Duration = Duration::from_secs(2);
+/// Longest wait handed out, unless the queue itself takes longer: beyond it the load can't be
+/// predicted.
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// Promised moments before one queue.
+/// Retry times handed out for one queue.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Schedule {
-    /// The first moment that was promised to nobody.
-    free: Duration,
+    /// First retry time that is not handed out yet.
+    next: Duration,
 }
 
 impl Schedule {
-    /// Time for a caller refused now to wait: at least `wait`, in which those that wait are
-    /// served; `gap` is the time in which one place becomes free.
+    /// Reserves the next retry time and returns the wait until then. `wait` is the time in
+    /// which the requests that wait now are served, `gap` the time in which one slot becomes
+    /// free.
     pub fn reserve(&mut self, wait: Duration, gap: Duration, now: Duration) -> Duration {
-        let at = self.free.max(now + wait).min(now + LONGEST.max(wait));
-        self.free = at + gap;
+        let at = self.next.max(now + wait).min(now + MAX_WAIT.max(wait));
+        self.next = at + gap;
         at - now
     }
 }
--- a/tests/unit/fair.rs
+++ b/tests/unit/fair.rs
@@ -15,36 +15,36 @@
 }
 
 #[gtest]
-fn a_flooding_partner_does_not_push_back_another() {
-    let mut fair = Queue::new(1, MS);
+fn a_flooding_partner_does_not_delay_another() {
+    let mut queue = Queue::new(1, MS);
     let (flood, quiet) = (partner("a"), partner("b"));
     for id in 0..100 {
-        fair.admit(id, &flood, 1, MS, MS * 10_000);
+        queue.admit(id, &flood, 1, MS, MS * 10_000);
     }
-    fair.admit(1_000, &quiet, 1, MS, MS * 10_000);
-    let order: Vec<Option<u64>> = (0..3).map(|_| fair.finish(MS)).collect();
+    queue.admit(1_000, &quiet, 1, MS, MS * 10_000);
+    let order: Vec<Option<u64>> = (0..3).map(|_| queue.finish(MS)).collect();
     expect_that!(order, contains(some(eq(&1_000))));
 }
 
 #[gtest]
-fn weights_share_the_places() {
-    let mut fair = Queue::new(1, MS);
+fn slots_are_shared_by_weight() {
+    let mut queue = Queue::new(1, MS);
     for id in 0..300 {
-        fair.admit(id, &partner("a"), 3, MS, MS * 10_000);
-        fair.admit(1_000 + id, &partner("b"), 1, MS, MS * 10_000);
+        queue.admit(id, &partner("a"), 3, MS, MS * 10_000);
+        queue.admit(1_000 + id, &partner("b"), 1, MS, MS * 10_000);
     }
-    let served = (0..200).filter_map(|_| fair.finish(MS));
+    let served = (0..200).filter_map(|_| queue.finish(MS));
     let light = served.filter(|id| *id >= 1_000).count();
     expect_that!(light, all![ge(45), le(55)]);
 }
 
 #[gtest]
-fn who_would_wait_past_the_deadline_is_refused_at_once_with_the_time() {
-    let mut fair = Queue::new(1, MS * 10);
+fn a_request_that_would_miss_its_deadline_is_refused_with_a_retry_time() {
+    let mut queue = Queue::new(1, MS * 10);
     let a = partner("a");
-    expect_that!(fair.admit(1, &a, 1, MS, MS * 100), eq(Admission::Run));
-    expect_that!(fair.admit(2, &a, 1, MS, MS * 100), eq(Admission::Wait));
-    let refused = fair.admit(3, &a, 1, MS, MS * 15);
+    expect_that!(queue.admit(1, &a, 1, MS, MS * 100), eq(Admission::Run));
+    expect_that!(queue.admit(2, &a, 1, MS, MS * 100), eq(Admission::Wait));
+    let refused = queue.admit(3, &a, 1, MS, MS * 15);
     expect_that!(
         refused,
         eq(Admission::Refuse {
@@ -54,97 +54,105 @@
 }
 
 #[gtest]
-fn the_late_are_taken_out_and_the_withdrawn_are_not_served() {
-    let mut fair = Queue::new(1, MS);
+fn expired_and_removed_requests_are_not_served() {
+    let mut queue = Queue::new(1, MS);
     let a = partner("a");
     for id in 0..4 {
-        fair.admit(id, &a, 1, MS, MS * (10 * (id as u32 + 1)));
+        queue.admit(id, &a, 1, MS, MS * (10 * (id as u32 + 1)));
     }
-    expect_that!(fair.remove(2), eq(true));
-    expect_that!(fair.expire(MS * 25), elements_are![eq(&1)]);
-    // One that could only be answered late is taken out before its deadline.
-    fair.admit(9, &a, 1, MS * 25, MS * 31);
-    expect_that!(fair.expire(MS * 30 + MS / 2), elements_are![eq(&9)]);
-    expect_that!(fair.finish(MS), some(eq(3)));
-    expect_that!(fair.finish(MS), none());
+    expect_that!(queue.remove(2), eq(true));
+    expect_that!(queue.expire(MS * 25), elements_are![eq(&1)]);
+    // A request expires once too little time is left before its deadline to answer it.
+    queue.admit(9, &a, 1, MS * 25, MS * 31);
+    expect_that!(queue.expire(MS * 30 + MS / 2), elements_are![eq(&9)]);
+    expect_that!(queue.finish(MS), some(eq(3)));
+    expect_that!(queue.finish(MS), none());
 }
 
-/// The load: orders in transactions, which rest while their callers think. A place that such a
-/// transaction kept would stand empty while others wait.
+/// A slot that an idle transaction kept would be unused while other requests wait.
 #[gtest]
-fn a_resting_transaction_keeps_its_connection_and_no_place() {
-    let mut fair = Queue::new(1, MS);
-    fair.set_connection_limit(2);
+fn an_idle_transaction_keeps_its_connection_and_no_slot() {
+    let mut queue = Queue::new(1, MS);
+    queue.set_connection_limit(2);
     let a = partner("a");
-    expect_that!(fair.admit(1, &a, 1, MS, MS * 100), eq(Admission::Run));
-    expect_that!(fair.admit(2, &a, 1, MS, MS * 100), eq(Admission::Wait));
-    expect_that!(fair.go_idle(MS), some(eq(2)));
-    // Both connections are taken: one rests, one runs.
-    expect_that!(fair.finish(MS), none());
-    expect_that!(fair.admit(3, &a, 1, MS, MS * 100), eq(Admission::Run));
-    expect_that!(fair.go_idle(MS), none());
-    expect_that!(fair.admit(4, &a, 1, MS, MS * 100), eq(Admission::Wait));
-    // What runs on does not wait behind it.
-    fair.resume();
-    expect_that!((fair.running(), fair.idle_transactions()), eq((1, 1)));
-    expect_that!(fair.finish(MS), some(eq(4)));
-    expect_that!(fair.finish(MS), none());
-    expect_that!(fair.end_idle(), none());
-    expect_that!((fair.running(), fair.idle_transactions()), eq((0, 0)));
+    expect_that!(queue.admit(1, &a, 1, MS, MS * 100), eq(Admission::Run));
+    expect_that!(queue.admit(2, &a, 1, MS, MS * 100), eq(Admission::Wait));
+    expect_that!(queue.go_idle(MS), some(eq(2)));
+    // Both connections are in use: one by the idle transaction, one by the running request.
+    expect_that!(queue.finish(MS), none());
+    expect_that!(queue.admit(3, &a, 1, MS, MS * 100), eq(Admission::Run));
+    expect_that!(queue.go_idle(MS), none());
+    expect_that!(queue.admit(4, &a, 1, MS, MS * 100), eq(Admission::Wait));
+    // A resumed transaction does not wait behind the queued request.
+    queue.resume();
+    expect_that!((queue.running(), queue.idle_transactions()), eq((1, 1)));
+    expect_that!(queue.finish(MS), some(eq(4)));
+    expect_that!(queue.finish(MS), none());
+    expect_that!(queue.end_idle(), none());
+    expect_that!((queue.running(), queue.idle_transactions()), eq((0, 0)));
 }
 
-fn due(aim: u32, limit: u32) -> Deadlines {
+fn deadlines(soft: u32, hard: u32) -> Deadlines {
     Deadlines {
-        soft: MS * aim,
-        hard: MS * limit,
+        soft: MS * soft,
+        hard: MS * hard,
     }
 }
 
 #[gtest]
-fn who_cannot_be_on_time_waits_behind_those_who_can() {
-    let mut fair = Queue::new(2, MS * 10);
-    fair.set_serves_late(true);
+fn late_requests_wait_behind_on_time_requests() {
+    let mut queue = Queue::new(2, MS * 10);
+    queue.set_serves_late(true);
     let a = partner("a");
     for id in [1, 2] {
-        fair.admit(id, &a, 1, MS, due(100, 500));
+        queue.admit(id, &a, 1, MS, deadlines(100, 500));
     }
-    // No time for its aim, and time for its limit.
-    expect_that!(fair.admit(3, &a, 1, MS, due(10, 500)), eq(Admission::Wait));
-    expect_that!(fair.admit(4, &a, 1, MS, due(200, 500)), eq(Admission::Wait));
-    expect_that!(fair.waiting_on_time(), eq(1));
-    expect_that!(fair.finish(MS * 10), some(eq(4)));
-    // The late one gets no place while half of them are busy: one has to stay free.
-    expect_that!(fair.finish(MS * 10), none());
+    // Can't meet its soft deadline, but its hard one.
     expect_that!(
-        fair.admit(5, &a, 1, MS * 20, due(200, 500)),
+        queue.admit(3, &a, 1, MS, deadlines(10, 500)),
+        eq(Admission::Wait)
+    );
+    expect_that!(
+        queue.admit(4, &a, 1, MS, deadlines(200, 500)),
+        eq(Admission::Wait)
+    );
+    expect_that!(queue.waiting_on_time(), eq(1));
+    expect_that!(queue.finish(MS * 10), some(eq(4)));
+    // The late request may use one of the two slots only, and that one is busy.
+    expect_that!(queue.finish(MS * 10), none());
+    expect_that!(
+        queue.admit(5, &a, 1, MS * 20, deadlines(200, 500)),
         eq(Admission::Run)
     );
-    expect_that!(fair.finish(MS * 10), none());
-    expect_that!(fair.finish(MS * 10), some(eq(3)));
+    expect_that!(queue.finish(MS * 10), none());
+    expect_that!(queue.finish(MS * 10), some(eq(3)));
 }
 
 #[gtest]
-fn who_waits_past_its_aim_becomes_late_and_is_refused_only_at_its_limit() {
-    let mut fair = Queue::new(1, MS * 10);
-    fair.set_serves_late(true);
+fn a_request_becomes_late_at_its_soft_deadline_and_expires_at_its_hard_one() {
+    let mut queue = Queue::new(1, MS * 10);
+    queue.set_serves_late(true);
     let a = partner("a");
-    fair.admit(1, &a, 1, MS, due(100, 500));
-    fair.admit(2, &a, 1, MS, due(60, 300));
-    expect_that!(fair.expire(MS * 70), is_empty());
-    expect_that!(fair.waiting_on_time(), eq(0));
-    expect_that!(fair.waiting(), eq(1));
-    expect_that!(fair.expire(MS * 295), elements_are![eq(&2)]);
+    queue.admit(1, &a, 1, MS, deadlines(100, 500));
+    queue.admit(2, &a, 1, MS, deadlines(60, 300));
+    expect_that!(queue.expire(MS * 70), is_empty());
+    expect_that!(queue.waiting_on_time(), eq(0));
+    expect_that!(queue.waiting(), eq(1));
+    expect_that!(queue.expire(MS * 295), elements_are![eq(&2)]);
 }
 
-/// A line of late ones that does not move takes nobody who would be refused at its limit.
+/// A late request must not be queued behind stalled ones if it would only expire there.
 #[gtest]
-fn a_late_line_that_stands_still_refuses_at_once() {
-    let mut fair = Queue::new(1, MS * 10);
-    fair.set_serves_late(true);
+fn a_stalled_late_queue_refuses_at_once() {
+    let mut queue = Queue::new(1, MS * 10);
+    queue.set_serves_late(true);
     let a = partner("a");
-    fair.admit(1, &a, 1, MS, due(100, 900));
-    expect_that!(fair.admit(2, &a, 1, MS, due(5, 900)), eq(Admission::Wait));
-    let refused = fair.admit(3, &a, 1, MS * 400, due(405, 700));
+    queue.admit(1, &a, 1, MS, deadlines(100, 900));
+    expect_that!(
+        queue.admit(2, &a, 1, MS, deadlines(5, 900)),
+        eq(Admission::Wait)
+    );
+    let refused = queue.admit(3, &a, 1, MS * 400, deadlines(405, 700));
     expect_that!(
         refused,
         pat!(Admission::Refuse {
@@ -154,14 +162,14 @@
 }
 
 #[gtest]
-fn refused_callers_come_back_one_after_the_other() {
-    let mut fair = Queue::new(2, MS * 10);
-    fair.set_serves_late(true);
+fn refused_requests_get_staggered_retry_times() {
+    let mut queue = Queue::new(2, MS * 10);
+    queue.set_serves_late(true);
     let a = partner("a");
     for id in [1, 2] {
-        fair.admit(id, &a, 1, MS, due(100, 500));
+        queue.admit(id, &a, 1, MS, deadlines(100, 500));
     }
-    let refused = (3..6).map(|id| match fair.admit(id, &a, 1, MS, due(2, 2)) {
+    let refused = (3..6).map(|id| match queue.admit(id, &a, 1, MS, deadlines(2, 2)) {
         Admission::Refuse { retry_after } => retry_after,
         other => panic!("{other:?}"),
     });
@@ -172,59 +180,58 @@
     );
 }
 
-/// What callers get of one overload.
+/// Outcomes of the requests of a simulation.
 #[derive(Debug, Default)]
 struct Served {
     on_time: usize,
     late: usize,
     refused: usize,
     /// Refused after a wait.
-    held: usize,
+    expired: usize,
 }
 
-/// What happens in the second of three seconds.
+/// Disturbance in the second of three simulated seconds.
 #[derive(Clone, Copy, PartialEq)]
 enum Load {
-    /// More than twice of what the places can serve arrives.
+    /// More than twice the requests that the slots can serve arrive.
     Burst,
-    /// For half a second nothing that runs ends: all members' connections are taken by boxes
-    /// that lost power.
+    /// No running request finishes for half a second.
     Standstill,
 }
 
-fn play(load: Load, serves_late: bool, seed: u64) -> Served {
-    const AIM: Duration = Duration::from_millis(150);
-    const LIMIT: Duration = Duration::from_millis(760);
-    let mut dice = SmallRng::seed_from_u64(seed);
-    let mut fair = Queue::new(4, MS * 10);
-    fair.set_serves_late(serves_late);
+fn simulate(load: Load, serves_late: bool, seed: u64) -> Served {
+    const SOFT: Duration = Duration::from_millis(150);
+    const HARD: Duration = Duration::from_millis(760);
+    let mut rng = SmallRng::seed_from_u64(seed);
+    let mut queue = Queue::new(4, MS * 10);
+    queue.set_serves_late(serves_late);
     let partners = [partner("orders"), partner("quotes")];
     let mut served = Served::default();
     let mut arrived: BTreeMap<u64, Duration> = BTreeMap::new();
-    // Ends of what runs, and how long it takes.
+    // End, duration and id of each running request.
     let mut running: BTreeSet<(Duration, Duration, u64)> = BTreeSet::new();
-    let start = |id: u64, now: Duration, dice: &mut SmallRng| {
-        let took = MS * dice.random_range(4..17);
+    let start = |id: u64, now: Duration, rng: &mut SmallRng| {
+        let took = MS * rng.random_range(4..17);
         (now + took, took, id)
     };
     for tick in 0..3_000_u32 {
         let now = MS * tick;
-        let stands = load == Load::Standstill && (1_000..1_500).contains(&tick);
+        let stalled = load == Load::Standstill && (1_000..1_500).contains(&tick);
         while let Some(first) = running
             .first()
             .copied()
-            .filter(|(end, ..)| *end <= now && !stands)
+            .filter(|(end, ..)| *end <= now && !stalled)
         {
             running.remove(&first);
             let (_, took, id) = first;
-            match now <= arrived[&id] + AIM {
+            match now <= arrived[&id] + SOFT {
                 true => served.on_time += 1,
                 false => served.late += 1,
             }
-            let gone = fair.expire(now);
-            served.held += gone.len();
-            if let Some(next) = fair.finish(took) {
-                running.insert(start(next, now, &mut dice));
+            let expired = queue.expire(now);
+            served.expired += expired.len();
+            if let Some(next) = queue.finish(took) {
+                running.insert(start(next, now, &mut rng));
             }
         }
         let burst = load == Load::Burst && (1_000..2_000).contains(&tick);
@@ -233,18 +240,18 @@
             Load::Burst => 0.25,
             Load::Standstill => 0.15,
         };
-        if !dice.random_bool(rate) {
+        if !rng.random_bool(rate) {
             continue;
         }
         let id = u64::from(tick);
         arrived.insert(id, now);
-        let due = Deadlines {
-            soft: now + AIM,
-            hard: now + LIMIT,
+        let deadlines = Deadlines {
+            soft: now + SOFT,
+            hard: now + HARD,
         };
-        match fair.admit(id, &partners[tick as usize % 2], 1, now, due) {
+        match queue.admit(id, &partners[tick as usize % 2], 1, now, deadlines) {
             Admission::Run => {
-                running.insert(start(id, now, &mut dice));
+                running.insert(start(id, now, &mut rng));
             }
             Admission::Wait => {}
             Admission::Refuse { .. } => served.refused += 1,
@@ -253,62 +260,71 @@
     served
 }
 
-fn sum(load: Load, serves_late: bool) -> Served {
+fn simulate_seeds(load: Load, serves_late: bool) -> Served {
     let mut all = Served::default();
     for seed in 0..20 {
-        let served = play(load, serves_late, seed);
+        let served = simulate(load, serves_late, seed);
         all.on_time += served.on_time;
         all.late += served.late;
         all.refused += served.refused;
-        all.held += served.held;
+        all.expired += served.expired;
     }
     all
 }
 
-/// Where what is on time takes all places, late ones would wait in vain: refused at once, as
-/// without them.
+/// Late requests must be refused at once while on-time requests use all slots, since they would
+/// only expire in the queue.
 #[gtest]
-fn in_a_burst_nobody_waits_late_in_vain() {
-    let (late, at_once) = (sum(Load::Burst, true), sum(Load::Burst, false));
+fn in_a_burst_late_requests_do_not_wait_until_they_expire() {
+    let (late, at_once) = (
+        simulate_seeds(Load::Burst, true),
+        simulate_seeds(Load::Burst, false),
+    );
     println!("{late:?} against {at_once:?}");
     expect_that!(late.on_time as f64, ge(0.97 * at_once.on_time as f64));
-    expect_that!(late.held as f64, le(0.02 * late.on_time as f64));
+    expect_that!(late.expired as f64, le(0.02 * late.on_time as f64));
 }
 
-/// Where nothing moves for a moment, waiting wins most of those who came meanwhile, and none
-/// of those who are on time pays for it.
+/// After a standstill, serving late requests must not cost on-time ones their answers.
 #[gtest]
-fn after_a_standstill_those_who_waited_are_answered() {
-    let (late, at_once) = (sum(Load::Standstill, true), sum(Load::Standstill, false));
+fn after_a_standstill_late_requests_are_answered() {
+    let (late, at_once) = (
+        simulate_seeds(Load::Standstill, true),
+        simulate_seeds(Load::Standstill, false),
+    );
     println!("{late:?} against {at_once:?}");
     expect_that!(late.on_time as f64, ge(0.97 * at_once.on_time as f64));
-    let lost = |served: &Served| (served.refused + served.held) as f64;
+    let lost = |served: &Served| (served.refused + served.expired) as f64;
     expect_that!(lost(&late), le(0.5 * lost(&at_once)));
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
-    Arrive { aim: u32, more: u32, partner: usize },
-    Release,
-    Rest,
+enum Step {
+    Arrive {
+        soft: u32,
+        more: u32,
+        partner: usize,
+    },
+    Finish,
+    GoIdle,
     Resume,
-    Vacate,
-    Withdraw(usize),
-    Pass(u32),
-    Connections(usize),
+    EndIdle,
+    Remove(usize),
+    Advance(u32),
+    LimitConnections(usize),
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..200_u32, 0..400_u32, 0..3_usize)
-            .prop_map(|(aim, more, partner)| Happening::Arrive { aim, more, partner }),
-        3 => Just(Happening::Release),
-        1 => Just(Happening::Rest),
-        1 => Just(Happening::Resume),
-        1 => Just(Happening::Vacate),
-        1 => (0..20_usize).prop_map(Happening::Withdraw),
-        2 => (1..60_u32).prop_map(Happening::Pass),
-        1 => (0..6_usize).prop_map(Happening::Connections),
+            .prop_map(|(soft, more, partner)| Step::Arrive { soft, more, partner }),
+        3 => Just(Step::Finish),
+        1 => Just(Step::GoIdle),
+        1 => Just(Step::Resume),
+        1 => Just(Step::EndIdle),
+        1 => (0..20_usize).prop_map(Step::Remove),
+        2 => (1..60_u32).prop_map(Step::Advance),
+        1 => (0..6_usize).prop_map(Step::LimitConnections),
     ]
 }
 
@@ -319,63 +335,64 @@
         ..ProptestConfig::with_cases(512)
     })]
 
-    /// Whatever happens, each request runs once or is refused once, and nobody who can be on
-    /// time waits before a free place.
+    /// Each request runs or is refused exactly once, and no on-time request waits while a slot
+    /// is free.
     #[test]
     fn no_request_is_lost_or_run_twice(
-        happenings in proptest::collection::vec(happening(), 1..120),
+        steps in proptest::collection::vec(step(), 1..120),
         serves_late in any::<bool>(),
     ) {
-        let mut fair = Queue::new(3, MS * 10);
-        fair.set_serves_late(serves_late);
-        fair.set_connection_limit(5);
+        let mut queue = Queue::new(3, MS * 10);
+        queue.set_serves_late(serves_late);
+        queue.set_connection_limit(5);
         let partners = ["a", "b", "c"].map(partner);
         let (mut now, mut connections) = (MS, 5);
         let (mut waiting, mut ended) = (BTreeSet::new(), BTreeSet::new());
-        for (id, happening) in happenings.into_iter().enumerate() {
+        for (id, step) in steps.into_iter().enumerate() {
             let id = id as u64;
             let mut next = None;
-            match happening {
-                Happening::Arrive { aim, more, partner } => {
-                    let due = Deadlines { soft: now + MS * aim, hard: now + MS * (aim + more) };
-                    match fair.admit(id, &partners[partner], 1, now, due) {
+            match step {
+                Step::Arrive { soft, more, partner } => {
+                    let deadlines =
+                        Deadlines { soft: now + MS * soft, hard: now + MS * (soft + more) };
+                    match queue.admit(id, &partners[partner], 1, now, deadlines) {
                         Admission::Wait => { waiting.insert(id); }
                         _ => { prop_assert!(ended.insert(id)); }
                     }
                 }
-                Happening::Release if fair.running() > 0 => next = fair.finish(MS * 8),
-                Happening::Rest if fair.running() > 0 => next = fair.go_idle(MS * 8),
-                Happening::Resume if fair.idle_transactions() > 0 => fair.resume(),
-                Happening::Vacate if fair.idle_transactions() > 0 => next = fair.end_idle(),
-                Happening::Withdraw(i) => {
+                Step::Finish if queue.running() > 0 => next = queue.finish(MS * 8),
+                Step::GoIdle if queue.running() > 0 => next = queue.go_idle(MS * 8),
+                Step::Resume if queue.idle_transactions() > 0 => queue.resume(),
+                Step::EndIdle if queue.idle_transactions() > 0 => next = queue.end_idle(),
+                Step::Remove(i) => {
                     if let Some(id) = waiting.iter().nth(i).copied() {
-                        prop_assert!(fair.remove(id));
+                        prop_assert!(queue.remove(id));
                         waiting.remove(&id);
                         ended.insert(id);
                     }
                 }
-                Happening::Pass(long) => {
-                    now += MS * long;
-                    for id in fair.expire(now) {
+                Step::Advance(ms) => {
+                    now += MS * ms;
+                    for id in queue.expire(now) {
                         prop_assert!(waiting.remove(&id));
                         prop_assert!(ended.insert(id));
                     }
                 }
-                Happening::Connections(most) => {
-                    connections = most;
-                    fair.set_connection_limit(most);
-                    next = fair.admit_next();
+                Step::LimitConnections(limit) => {
+                    connections = limit;
+                    queue.set_connection_limit(limit);
+                    next = queue.admit_next();
                 }
                 _ => {}
             }
             while let Some(id) = next {
                 prop_assert!(waiting.remove(&id), "{id} did not wait");
-                prop_assert!(ended.insert(id), "{id} ran before");
-                next = fair.admit_next();
+                prop_assert!(ended.insert(id), "{id} ended twice");
+                next = queue.admit_next();
             }
-            prop_assert_eq!(fair.waiting(), waiting.len());
-            let full = fair.running() >= 3 || fair.running() + fair.idle_transactions() >= connections;
-            prop_assert!(full || fair.waiting_on_time() == 0, "a place is free");
+            prop_assert_eq!(queue.waiting(), waiting.len());
+            let full = queue.running() >= 3 || queue.running() + queue.idle_transactions() >= connections;
+            prop_assert!(full || queue.waiting_on_time() == 0, "a slot is free");
         }
     }
 }
