--- a/src/decisions/limit/lender.rs
+++ b/src/decisions/limit/lender.rs
@@ -1,57 +1,58 @@
-//! What one box lends, by workspace.
+//! Lends the parts of workspaces' limits that this box is a lender of.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Bucket, LEAST_RETRY, Limit, Line, Loan, MOST_RETRY, lenders};
+use super::{Bucket, Limit, Loan, MAX_RETRY, MIN_RETRY, Queue, lenders};
 use crate::borders::roster::Listing;
 use crate::decisions::retry_after::Schedule;
 
-/// Time after which one that waits looks whether it still does: it is told to come back soon
-/// after it has lost its place.
-const LOOK: Duration = Duration::from_millis(25);
+/// Longest time between two polls of a queued operation, so that one that was evicted from the
+/// queue learns of it soon.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// An operation that waits for its turn.
+/// An operation in a lender's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
     id: u64,
-    /// Latest moment of its turn.
-    end: Duration,
+    /// Latest time at which the operation can use a grant.
+    deadline: Duration,
 }
 
-/// What becomes of an operation whose limit is used up.
+/// Decision on an operation whose limit may be used up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It may run.
+    /// The operation may run.
     Granted,
-    /// Its turn is expected at this moment.
+    /// The operation is queued and should be polled at this time.
     Queued(Ticket, Duration),
-    /// Its turn would come too late; worth another try after this time.
+    /// No grant in time; worth a retry after this wait.
     Exhausted(Duration),
 }
 
-/// A part of a workspace's limit, and who waits for it.
+/// A part of a workspace's limit, and the operations that wait for it.
 #[derive(Clone, Debug)]
 struct Account {
     bucket: Bucket,
-    line: Line,
-    returns: Schedule,
+    queue: Queue,
+    retry_schedule: Schedule,
 }
 
-/// A box as a lender.
+/// This box as a lender, with one account for each workspace.
 #[derive(Clone, Debug, Default)]
 pub struct Lender {
     accounts: HashMap<Arc<str>, Account>,
-    /// Since when this box may have been a lender: its start, or the list's last change.
+    /// Since when this box may have been a lender: its start, or the last change of the list
+    /// of boxes.
     since: Duration,
-    next: u64,
+    last_id: u64,
 }
 
 impl Lender {
-    /// Takes a new list of boxes. For some workspaces `name` may only lend now, for others not
-    /// any more: while another lends in its place its own bucket would fill up, and the limit be
-    /// spent twice once it lends again.
+    /// Applies a new list of boxes for the box `name`. Drops the accounts of workspaces for
+    /// which it is no lender any more: their buckets would fill up while another box lends in
+    /// its place, and the limit would be spent twice once it lends again.
     pub fn set_boxes(&mut self, name: &str, boxes: &[Listing], now: Duration) {
         self.since = now;
         let lends = |workspace: &str| {
@@ -66,23 +67,24 @@
         let account = self.accounts.entry(workspace.clone());
         account.or_insert_with(|| Account {
             bucket: Bucket::new(part, since, now),
-            line: Line::default(),
-            returns: Schedule::default(),
+            queue: Queue::default(),
+            retry_schedule: Schedule::default(),
         })
     }
 
-    /// Lends out of a part of a workspace's limit, at once: nothing while others wait.
+    /// Lends up to `wanted` operations out of a part of a workspace's limit, without waiting.
+    /// Lends none while others are queued.
     pub fn lend(&mut self, workspace: &Arc<str>, part: Limit, wanted: u32, now: Duration) -> Loan {
         let account = self.account(workspace, part, now);
-        if account.line.is_empty() {
+        if account.queue.is_empty() {
             return account.bucket.take(part, wanted, now);
         }
-        let turns = account.bucket.turns(part, now);
-        let turn = turns.of(account.line.len());
-        Loan::Spent((turn - now).clamp(LEAST_RETRY, MOST_RETRY))
+        let forecast = account.bucket.forecast(part, now);
+        let grant = forecast.grant_at(account.queue.len());
+        Loan::Spent((grant - now).clamp(MIN_RETRY, MAX_RETRY))
     }
 
-    /// Lends one operation, or has it wait for its turn, for `wait` at most.
+    /// Grants one operation, or queues it for at most `wait`.
     pub fn enqueue(
         &mut self,
         workspace: &Arc<str>,
@@ -90,66 +92,69 @@
         wait: Duration,
         now: Duration,
     ) -> Decision {
-        self.next += 1;
-        let id = self.next;
-        let end = now + wait;
+        self.last_id += 1;
+        let id = self.last_id;
+        let deadline = now + wait;
         let account = self.account(workspace, part, now);
-        if account.line.is_empty() && account.bucket.take(part, 1, now) == Loan::Granted(1) {
+        if account.queue.is_empty() && account.bucket.take(part, 1, now) == Loan::Granted(1) {
             return Decision::Granted;
         }
-        let turns = account.bucket.turns(part, now);
-        if account.line.join(id, end, turns) {
-            return account.waits(Ticket { id, end }, part, now);
+        let forecast = account.bucket.forecast(part, now);
+        if account.queue.insert(id, deadline, forecast) {
+            return account.queued(Ticket { id, deadline }, part, now);
         }
-        account.spent(part, now)
+        account.exhausted(part, now)
     }
 
-    /// Whether the turn of one that waits has come.
+    /// Decides again on a queued operation.
     pub fn poll(
         &mut self,
         workspace: &Arc<str>,
         part: Limit,
-        waiting: Ticket,
+        ticket: Ticket,
         now: Duration,
     ) -> Decision {
         let account = self.account(workspace, part, now);
-        let Some(place) = account.line.place(waiting.id, waiting.end) else {
-            return account.spent(part, now);
+        let Some(index) = account.queue.index_of(ticket.id, ticket.deadline) else {
+            return account.exhausted(part, now);
         };
-        if place == 0 && account.bucket.take(part, 1, now) == Loan::Granted(1) {
-            account.line.leave(waiting.id, waiting.end);
+        if index == 0 && account.bucket.take(part, 1, now) == Loan::Granted(1) {
+            account.queue.remove(ticket.id, ticket.deadline);
             return Decision::Granted;
         }
-        if now < waiting.end {
-            return account.waits(waiting, part, now);
+        if now < ticket.deadline {
+            return account.queued(ticket, part, now);
         }
-        // The limit was lowered meanwhile.
-        account.line.leave(waiting.id, waiting.end);
-        account.spent(part, now)
+        // The limit was lowered while the operation waited.
+        account.queue.remove(ticket.id, ticket.deadline);
+        account.exhausted(part, now)
     }
 
-    /// An operation does not wait any more.
-    pub fn cancel(&mut self, workspace: &str, waiting: Ticket) {
+    /// Removes an operation from its queue.
+    pub fn cancel(&mut self, workspace: &str, ticket: Ticket) {
         if let Some(account) = self.accounts.get_mut(workspace) {
-            account.line.leave(waiting.id, waiting.end);
+            account.queue.remove(ticket.id, ticket.deadline);
         }
     }
 }
 
 impl Account {
-    fn waits(&mut self, waiting: Ticket, part: Limit, now: Duration) -> Decision {
-        let turns = self.bucket.turns(part, now);
-        let place = self.line.place(waiting.id, waiting.end);
-        let turn = turns.of(place.unwrap_or_default());
-        Decision::Queued(waiting, turn.clamp(now + LEAST_RETRY, now + LOOK))
+    fn queued(&mut self, ticket: Ticket, part: Limit, now: Duration) -> Decision {
+        let forecast = self.bucket.forecast(part, now);
+        let index = self.queue.index_of(ticket.id, ticket.deadline);
+        let grant = forecast.grant_at(index.unwrap_or_default());
+        Decision::Queued(
+            ticket,
+            grant.clamp(now + MIN_RETRY, now + MAX_POLL_INTERVAL),
+        )
     }
 
-    /// Tells one that does not wait when to come back: after those that do, and after those
-    /// that were told before.
-    fn spent(&mut self, part: Limit, now: Duration) -> Decision {
-        let turns = self.bucket.turns(part, now);
-        let queue = turns.of(self.line.len()) - now;
-        let wait = self.returns.reserve(queue, turns.gap, now);
-        Decision::Exhausted(wait.clamp(LEAST_RETRY, MOST_RETRY))
+    /// Reserves a retry time after the grants of the queued operations and after the retry
+    /// times given before.
+    fn exhausted(&mut self, part: Limit, now: Duration) -> Decision {
+        let forecast = self.bucket.forecast(part, now);
+        let queue = forecast.grant_at(self.queue.len()) - now;
+        let wait = self.retry_schedule.reserve(queue, forecast.gap, now);
+        Decision::Exhausted(wait.clamp(MIN_RETRY, MAX_RETRY))
     }
 }
