--- a/src/decisions/budget.rs
+++ b/src/decisions/budget.rs
@@ -1,33 +1,34 @@
-//! The retry budget: retries may be at most a share of successes.
+//! Retry budget: limits retries to a share of the successes.
 
 /// Tokens earned by successes and spent by retries.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    /// In thousandths of a retry.
     tokens: u64,
-    earn: u64,
-    most: u64,
+    tokens_per_success: u64,
+    max_tokens: u64,
 }
 
-const RETRY: u64 = 1_000;
+const TOKENS_PER_RETRY: u64 = 1_000;
 
 impl Budget {
-    /// Each success earns `percent` hundredths of a retry; `most` can be saved.
+    /// Creates a full budget of `most` retries to which each success adds `percent` hundredths
+    /// of a retry.
     pub fn new(percent: u64, most: u64) -> Self {
         Self {
-            tokens: most * RETRY,
-            earn: percent * RETRY / 100,
-            most: most * RETRY,
+            tokens: most * TOKENS_PER_RETRY,
+            tokens_per_success: percent * TOKENS_PER_RETRY / 100,
+            max_tokens: most * TOKENS_PER_RETRY,
         }
     }
 
+    /// Adds the tokens of one success.
     pub fn earn(&mut self) {
-        self.tokens = (self.tokens + self.earn).min(self.most);
+        self.tokens = (self.tokens + self.tokens_per_success).min(self.max_tokens);
     }
 
-    /// Takes one retry. False when there is none left.
+    /// Takes the tokens of one retry. Returns false if too few are left.
     pub fn spend(&mut self) -> bool {
-        let Some(left) = self.tokens.checked_sub(RETRY) else {
+        let Some(left) = self.tokens.checked_sub(TOKENS_PER_RETRY) else {
             return false;
         };
         self.tokens = left;
--- a/src/decisions/classify.rs
+++ b/src/decisions/classify.rs
@@ -1,8 +1,8 @@
-//! What a statement is: where it may run and what it must wait for.
+//! Classifies SQL statements: where a statement may run, and which tables it uses.
 //!
-//! A hint in a comment names the kind of read or the key of a request that must
-//! not be repeated: `/* larkfall: kind=panel */`, `/* larkfall: once=sale-17 */`.
-//! What doesn't parse is taken for a write: the primary will say what is wrong.
+//! A hint in a comment names the kind of read, or the key of a request that must run at most
+//! once: `/* larkfall: kind=panel */`, `/* larkfall: once=sale-17 */`. Text that doesn't parse
+//! counts as a write, so that the primary reports the error.
 
 use std::collections::BTreeSet;
 use std::ops::ControlFlow;
@@ -16,9 +16,9 @@
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::parser::Parser;
 
-const HINT: &str = "larkfall:";
-/// Functions that change something although they stand in a query.
-const WRITING: [&str; 7] = [
+const HINT_PREFIX: &str = "larkfall:";
+/// Functions with side effects that make a query a write.
+const WRITING_FUNCTIONS: [&str; 7] = [
     "nextval",
     "setval",
     "pg_notify",
@@ -31,15 +31,15 @@
 /// Where a statement may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Kind {
-    /// Any member that meets floor and age.
+    /// On any member that meets the floor and the maximum age.
     Read,
-    /// Nothing of a database's: answered by the box.
+    /// On no member: the box answers.
     Session,
-    /// The primary.
+    /// On the primary.
     Write,
     /// Opens a transaction on the primary.
     Begin,
-    /// Opens a transaction that only reads.
+    /// Opens a read-only transaction.
     BeginRead,
     /// Ends a transaction.
     End,
@@ -49,11 +49,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Class {
     pub kind: Kind,
-    /// Kind of read by hint.
+    /// Kind of read that a hint names.
     pub read_kind: Option<Arc<str>>,
-    /// Key by hint, of a request that must run at most once.
+    /// Key that a hint gives a request that must run at most once.
     pub once_key: Option<Arc<str>>,
-    /// Tables named, lower case, without schema.
+    /// Names of the tables used, in lower case and without schema.
     pub tables: BTreeSet<Arc<str>>,
     pub command: Command,
 }
@@ -70,14 +70,14 @@
         name: Arc<str>,
     },
     Reset,
-    /// Can't be had on pooled connections.
+    /// Not supported on pooled connections.
     Refuse {
         what: &'static str,
     },
 }
 
 impl Class {
-    fn of(kind: Kind) -> Self {
+    fn new(kind: Kind) -> Self {
         Self {
             kind,
             read_kind: None,
@@ -87,11 +87,11 @@
         }
     }
 
-    /// The stricter of two that run together.
+    /// Combines the classes of two statements that run together; the stricter kind wins.
     pub fn combine(mut self, other: Class) -> Class {
-        let same = self.read_kind == other.read_kind;
+        let same_read_kind = self.read_kind == other.read_kind;
         self.kind = self.kind.max(other.kind);
-        self.read_kind = self.read_kind.filter(|_| same);
+        self.read_kind = self.read_kind.filter(|_| same_read_kind);
         self.once_key = self.once_key.or(other.once_key);
         self.tables.extend(other.tables);
         if let Command::Refuse { .. } = other.command {
@@ -101,8 +101,9 @@
     }
 }
 
-/// What pools send to clean a connection. A session has nothing of it to clean.
-const RESETS: [&str; 6] = [
+/// Statements that clients' connection pools send to clean a connection. Sessions keep none of
+/// this state, so the box answers them itself.
+const RESET_STATEMENTS: [&str; 6] = [
     "select pg_advisory_unlock_all()",
     "close all",
     "unlisten *",
@@ -113,25 +114,25 @@
 
 fn is_reset(sql: &str) -> bool {
     let mut parts = sql.split(';').map(|part| part.trim().to_lowercase());
-    let known = |part: &String| part.is_empty() || RESETS.contains(&part.as_str());
-    !sql.trim().is_empty() && parts.all(|part| known(&part))
+    let is_known = |part: &String| part.is_empty() || RESET_STATEMENTS.contains(&part.as_str());
+    !sql.trim().is_empty() && parts.all(|part| is_known(&part))
 }
 
-/// Classifies one query text, which may hold several statements.
+/// Classifies a query text, which may hold several statements.
 pub fn classify(sql: &str) -> Class {
     if is_reset(sql) {
         return Class {
             command: Command::Reset,
-            ..Class::of(Kind::Session)
+            ..Class::new(Kind::Session)
         };
     }
     let mut class = match Parser::parse_sql(&PostgreSqlDialect {}, sql) {
         Ok(statements) => statements
             .iter()
-            .map(one)
+            .map(classify_statement)
             .reduce(Class::combine)
-            .unwrap_or(Class::of(Kind::Read)),
-        Err(_) => Class::of(Kind::Write),
+            .unwrap_or(Class::new(Kind::Read)),
+        Err(_) => Class::new(Kind::Write),
     };
     for (name, value) in hints(sql) {
         match name {
@@ -143,45 +144,46 @@
     class
 }
 
-fn one(statement: &Statement) -> Class {
+fn classify_statement(statement: &Statement) -> Class {
     match statement {
-        Statement::Query(query) => of_query(statement, query),
+        Statement::Query(query) => classify_query(statement, query),
         Statement::StartTransaction { modes, .. } => {
             let read_only = TransactionMode::AccessMode(TransactionAccessMode::ReadOnly);
-            Class::of(match modes.contains(&read_only) {
+            Class::new(match modes.contains(&read_only) {
                 true => Kind::BeginRead,
                 false => Kind::Begin,
             })
         }
-        Statement::Commit { .. } | Statement::Rollback { .. } => Class::of(Kind::End),
-        Statement::Set(set) => of_set(set),
+        Statement::Commit { .. } | Statement::Rollback { .. } => Class::new(Kind::End),
+        Statement::Set(set) => classify_set(set),
         Statement::ShowVariable { variable } => {
-            let words: Vec<String> = variable.iter().map(|word| word.value.clone()).collect();
-            let name = words.join(".").to_lowercase().into();
+            let parts: Vec<String> = variable.iter().map(|part| part.value.clone()).collect();
+            let name = parts.join(".").to_lowercase().into();
             Class {
                 command: Command::Show { name },
-                ..Class::of(Kind::Session)
+                ..Class::new(Kind::Session)
             }
         }
-        Statement::Copy { .. } => refused("COPY"),
-        Statement::LISTEN { .. } => refused("LISTEN"),
-        Statement::Prepare { .. } => refused("PREPARE as a statement"),
+        Statement::Copy { .. } => unsupported("COPY"),
+        Statement::LISTEN { .. } => unsupported("LISTEN"),
+        Statement::Prepare { .. } => unsupported("PREPARE as a statement"),
         _ => Class {
-            tables: tables(statement),
-            ..Class::of(Kind::Write)
+            tables: table_names(statement),
+            ..Class::new(Kind::Write)
         },
     }
 }
 
-fn refused(what: &'static str) -> Class {
+fn unsupported(what: &'static str) -> Class {
     Class {
         command: Command::Refuse { what },
-        ..Class::of(Kind::Session)
+        ..Class::new(Kind::Session)
     }
 }
 
-fn of_query(statement: &Statement, query: &Query) -> Class {
-    let writes = !query.locks.is_empty() || !reads_only(&query.body) || calls_writer(statement);
+fn classify_query(statement: &Statement, query: &Query) -> Class {
+    let writes =
+        !query.locks.is_empty() || !reads_only(&query.body) || calls_writing_function(statement);
     let with_writes = query.with.as_ref().is_some_and(|with| {
         let mut ctes = with.cte_tables.iter();
         ctes.any(|cte| !reads_only(&cte.query.body))
@@ -191,8 +193,8 @@
         false => Kind::Read,
     };
     Class {
-        tables: tables(statement),
-        ..Class::of(kind)
+        tables: table_names(statement),
+        ..Class::new(kind)
     }
 }
 
@@ -206,12 +208,12 @@
     }
 }
 
-fn calls_writer(statement: &Statement) -> bool {
+fn calls_writing_function(statement: &Statement) -> bool {
     let found = visit_expressions(statement, |expression| {
         let Expr::Function(function) = expression else {
             return ControlFlow::Continue(());
         };
-        match WRITING.contains(&&*last_name(&function.name)) {
+        match WRITING_FUNCTIONS.contains(&&*last_name(&function.name)) {
             true => ControlFlow::Break(()),
             false => ControlFlow::Continue(()),
         }
@@ -219,12 +221,12 @@
     found.is_break()
 }
 
-fn of_set(set: &Set) -> Class {
+fn classify_set(set: &Set) -> Class {
     let Set::SingleAssignment {
         variable, values, ..
     } = set
     else {
-        return Class::of(Kind::Session);
+        return Class::new(Kind::Session);
     };
     let text = |value: &Expr| value.to_string().trim_matches('\'').to_owned();
     let value: Vec<String> = values.iter().map(text).collect();
@@ -234,11 +236,11 @@
     };
     Class {
         command,
-        ..Class::of(Kind::Session)
+        ..Class::new(Kind::Session)
     }
 }
 
-fn tables(statement: &Statement) -> BTreeSet<Arc<str>> {
+fn table_names(statement: &Statement) -> BTreeSet<Arc<str>> {
     let mut names = BTreeSet::new();
     let _: ControlFlow<()> = visit_relations(statement, |name| {
         names.insert(last_name(name));
@@ -253,14 +255,14 @@
     last.trim_matches('"').into()
 }
 
-/// Name and value pairs of hint comments.
+/// Returns the name and value pairs of the hint comments.
 fn hints(sql: &str) -> Vec<(&str, &str)> {
     let mut found = Vec::new();
     let mut rest = sql;
     while let Some(start) = rest.find("/*") {
         let comment = &rest[start + 2..];
         let Some(end) = comment.find("*/") else { break };
-        if let Some(hint) = comment[..end].trim().strip_prefix(HINT) {
+        if let Some(hint) = comment[..end].trim().strip_prefix(HINT_PREFIX) {
             let pairs = hint.split_whitespace();
             found.extend(pairs.filter_map(|pair| pair.split_once('=')));
         }
--- a/src/decisions/floors.rs
+++ b/src/decisions/floors.rs
@@ -1,45 +1,45 @@
-//! What a session must not miss: its own writes, and what it has read.
+//! Positions that a session's reads must see: its own writes, and what it has read before.
 //!
-//! One position for everything would be enough, and is what the token carries.
-//! But after a write, or a read from the primary, it keeps a session off all
-//! replicas for as long as they lag. A kind of read whose operator vouches that
-//! only writes to its own tables concern it (`own_writes = "tables"`) is kept
-//! apart: it must meet the session's writes to these tables, and what it has read
-//! from replicas. What it has read from the primary does not count: a session
-//! that looks often would never leave the primary again. So such a kind may see
-//! time go back after a read from the primary, by at most its staleness bound.
+//! One position for all reads would be enough, and is what the token carries. But after a
+//! write, or a read from the primary, it keeps the session off all replicas for as long as they
+//! lag. A kind of read for which the operator declares that only writes to its own tables
+//! matter (`own_writes = "tables"`) is therefore tracked separately: it must see the session's
+//! writes to these tables, and what earlier reads of the kind saw on replicas. Its reads from
+//! the primary don't count, or a session that reads often would never return to a replica. So
+//! such a kind may go back in time after a read from the primary, by at most its staleness
+//! bound.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 use super::position::Position;
 
-/// What an exchange reads or writes, as far as floors are concerned.
+/// What an exchange reads or writes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Scope {
     /// The declared kind of read.
     pub read_kind: Option<Arc<str>>,
-    /// The same, where it is kept apart.
+    /// The declared kind of read, if it is tracked separately.
     pub separate_kind: Option<Arc<str>>,
     pub tables: BTreeSet<Arc<str>>,
-    /// Only ends a transaction.
+    /// Whether the exchange only ends a transaction.
     pub ends_transaction: bool,
 }
 
 /// The floors of one session.
 #[derive(Clone, Debug, Default)]
 pub struct Floors {
-    /// Holds for every read. None: the session came without a token.
+    /// Floor for every read; none while it is unknown, in a session without a token.
     base: Option<Position>,
-    /// What reads of no kind kept apart have seen.
+    /// What reads have seen that are not tracked separately.
     reads: Position,
-    /// Own writes by table.
-    tables: HashMap<Arc<str>, Position>,
-    /// What reads have seen, by kind kept apart.
-    kinds: HashMap<Arc<str>, Position>,
-    /// Tables written in the open transaction; none within when not all are known.
-    open: Option<BTreeSet<Arc<str>>>,
-    record_pending_write: bool,
+    /// The session's writes, by table.
+    writes_by_table: HashMap<Arc<str>, Position>,
+    /// What reads have seen, by separately tracked kind.
+    reads_by_kind: HashMap<Arc<str>, Position>,
+    /// Tables written in the open transaction; none if not all of them are known.
+    pending_tables: Option<BTreeSet<Arc<str>>>,
+    has_pending_writes: bool,
 }
 
 impl Floors {
@@ -50,42 +50,47 @@
         }
     }
 
-    /// Floor for an exchange; none while it is unknown.
+    /// Returns the floor for an exchange, or none while it is unknown.
     pub fn floor_for(&self, scope: &Scope) -> Option<Position> {
         let base = self.base?;
         let Some(kind) = &scope.separate_kind else {
-            let own = self.tables.values().copied();
-            return Some(own.fold(base.join(self.reads), Position::join));
+            let writes = self.writes_by_table.values().copied();
+            return Some(writes.fold(base.join(self.reads), Position::join));
         };
-        let own = scope
+        let writes = scope
             .tables
             .iter()
-            .filter_map(|table| self.tables.get(table));
-        let floor = own.copied().fold(base, Position::join);
-        let seen = self.kinds.get(kind).copied().unwrap_or_default();
+            .filter_map(|table| self.writes_by_table.get(table));
+        let floor = writes.copied().fold(base, Position::join);
+        let seen = self.reads_by_kind.get(kind).copied().unwrap_or_default();
         Some(floor.join(seen))
     }
 
-    /// Everything in one position, for the token.
+    /// Returns the least position that covers all floors, for the token.
     pub fn token(&self) -> Option<Position> {
-        let all = self.floor_for(&Scope::default())?;
-        Some(self.kinds.values().copied().fold(all, Position::join))
+        let floor = self.floor_for(&Scope::default())?;
+        Some(
+            self.reads_by_kind
+                .values()
+                .copied()
+                .fold(floor, Position::join),
+        )
     }
 
-    /// Takes a token in the middle of a session.
+    /// Raises the floor for every read, as for a token received during the session.
     pub fn raise(&mut self, position: Position) {
         self.base = Some(self.base.unwrap_or_default().join(position));
     }
 
-    /// The floor that was handed in is not possible: the session starts anew.
+    /// Drops all floors, since the one that the caller handed in can't be reached.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// A read's answer reached `position`, at a replica or not.
+    /// Records the position that a read saw, and whether a replica answered it.
     pub fn record_read(&mut self, scope: &Scope, position: Position, replica: bool) {
         if self.base.is_none() {
-            // The first answer settles the unknown floor.
+            // The first answer sets the unknown floor.
             self.base = Some(position);
             return;
         }
@@ -93,47 +98,48 @@
             None => self.reads = self.reads.join(position),
             Some(_) if !replica => {}
             Some(kind) => {
-                let seen = self.kinds.entry(kind.clone()).or_default();
+                let seen = self.reads_by_kind.entry(kind.clone()).or_default();
                 *seen = seen.join(position);
             }
         }
     }
 
-    /// A statement that may write was run in a transaction that is still open.
+    /// Records a statement that may write in a transaction that is not committed yet.
     pub fn record_pending_write(&mut self, scope: &Scope) {
         if scope.ends_transaction {
             return;
         }
-        let before = match self.record_pending_write {
-            true => self.open.take(),
+        let before = match self.has_pending_writes {
+            true => self.pending_tables.take(),
             false => Some(BTreeSet::new()),
         };
-        self.record_pending_write = true;
-        self.open = before
+        self.has_pending_writes = true;
+        self.pending_tables = before
             .filter(|_| !scope.tables.is_empty())
             .map(|tables| tables.union(&scope.tables).cloned().collect());
     }
 
-    /// What was written since the last call is acknowledged at `position`.
+    /// Raises the floors of the tables with pending writes, which are acknowledged at
+    /// `position`. Without pending writes, the position counts as one read from the primary.
     pub fn acknowledge_writes(&mut self, position: Position) {
-        if !self.record_pending_write {
+        if !self.has_pending_writes {
             return self.record_read(&Scope::default(), position, false);
         }
-        let tables = self.open.take().unwrap_or_default();
-        self.record_pending_write = false;
+        let tables = self.pending_tables.take().unwrap_or_default();
+        self.has_pending_writes = false;
         if tables.is_empty() {
             self.raise(position);
             return;
         }
         for table in tables {
-            let floor = self.tables.entry(table).or_default();
+            let floor = self.writes_by_table.entry(table).or_default();
             *floor = floor.join(position);
         }
     }
 
-    /// The open transaction ended without an acknowledged write.
+    /// Discards pending writes that were not acknowledged before their transaction ended.
     pub fn discard_pending_writes(&mut self) {
-        self.open = None;
-        self.record_pending_write = false;
+        self.pending_tables = None;
+        self.has_pending_writes = false;
     }
 }
--- a/src/decisions/latency.rs
+++ b/src/decisions/latency.rs
@@ -1,50 +1,50 @@
-//! How long a member takes to answer, as this box sees it.
+//! Moving average of a member's response time, as this box measures it.
 
 use std::time::Duration;
 
-/// Answers over which the mean is taken, about.
+/// Divisor of a new sample in the moving average.
 const SMOOTHING: u32 = 8;
-/// Time without an answer in which what is known loses half of its weight: a member
+/// Time without a sample in which the excess over the initial value halves, so that a member
 /// that was slow is tried again.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// A smoothed mean that returns to a guess while nothing is heard.
+/// A moving average that decays to its initial value while no samples arrive.
 #[derive(Clone, Debug)]
 pub struct Latency {
-    guess: Duration,
+    initial: Duration,
     mean: Duration,
-    heard: Duration,
+    updated: Duration,
 }
 
 impl Latency {
-    pub fn new(guess: Duration) -> Self {
+    pub fn new(initial: Duration) -> Self {
         Self {
-            guess,
-            mean: guess,
-            heard: Duration::ZERO,
+            initial,
+            mean: initial,
+            updated: Duration::ZERO,
         }
     }
 
-    /// An answer took this long.
+    /// Adds the response time of an answer.
     pub fn record_answer(&mut self, took: Duration, now: Duration) {
         let mean = self.mean(now);
         self.mean = (mean * (SMOOTHING - 1) + took) / SMOOTHING;
-        self.heard = now;
+        self.updated = now;
     }
 
-    /// No answer came for this long.
+    /// Raises the average to the time after which an answer was still missing.
     pub fn record_timeout(&mut self, after: Duration, now: Duration) {
         self.mean = self.mean(now).max(after);
-        self.heard = now;
+        self.updated = now;
     }
 
-    /// The mean as far as it still counts.
+    /// Returns the average, decayed to `now`.
     pub fn mean(&self, now: Duration) -> Duration {
-        let above = self.mean.saturating_sub(self.guess);
-        let lives = now.saturating_sub(self.heard).as_secs_f64() / HALF_LIFE.as_secs_f64();
-        match above.is_zero() {
+        let excess = self.mean.saturating_sub(self.initial);
+        let half_lives = now.saturating_sub(self.updated).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        match excess.is_zero() {
             true => self.mean,
-            false => self.guess + above.mul_f64(0.5_f64.powf(lives)),
+            false => self.initial + excess.mul_f64(0.5_f64.powf(half_lives)),
         }
     }
 }
--- a/src/decisions/position.rs
+++ b/src/decisions/position.rs
@@ -1,9 +1,8 @@
-//! Places in a group's replicated log.
+//! Positions in a group's replicated log.
 //!
-//! A position is the term of the newest entry and its index. Indexes go on
-//! across terms, so a member whose log reaches a confirmed position holds
-//! everything before it. A session's *floor* is a position too: the least one a
-//! member must have applied before it may serve that session.
+//! A position is the term of the newest entry and its index. Indexes continue across terms, so
+//! a member whose log reaches a confirmed position holds everything before it. A session's
+//! *floor* is the least position that a member must have applied to serve the session.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,7 +11,7 @@
 
 const TOKEN_VERSION: &str = "v1";
 
-/// Newest log entry: its term, then its index.
+/// Term and index of a log entry.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -33,7 +32,7 @@
         self.term >= floor.term && self.index >= floor.index
     }
 
-    /// Least position that covers both.
+    /// Returns the least position that covers both.
     pub fn join(self, other: Position) -> Position {
         Position {
             term: self.term.max(other.term),
@@ -41,7 +40,7 @@
         }
     }
 
-    /// Token a caller may hand in at start-up on any box.
+    /// Returns the token that a caller may hand in at start-up on any box.
     pub fn token(self) -> String {
         format!("{TOKEN_VERSION}.{}.{}", self.term, self.index)
     }
@@ -53,7 +52,7 @@
     }
 }
 
-/// Why a token was not taken.
+/// Why a token could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
     #[error("a token has three parts, v1.TERM.INDEX")]
--- a/src/decisions/setup.rs
+++ b/src/decisions/setup.rs
@@ -1,15 +1,15 @@
-//! What a pooled connection needs before it serves another session: the session's
-//! values and no others, the statement prepared, the transaction opened.
+//! Plans the steps that prepare a pooled connection for a session's statement: it must carry
+//! the session's values and no others, the prepared statement, and the opened transaction.
 
 use std::collections::HashSet;
 use std::sync::Arc;
 
 use crate::borders::upstream::{Opening, Prepared, Setup, Values};
 
-/// Statements kept prepared on one connection; above it all are dropped.
-const MOST_PREPARED: usize = 500;
+/// Prepared statements to keep on one connection; above it, the connection is reset.
+const MAX_PREPARED: usize = 500;
 
-/// One thing to do before the statement.
+/// One step before the statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Drop all values and prepared statements.
@@ -22,7 +22,7 @@
     Open(Opening),
 }
 
-/// What a connection carries from earlier statements.
+/// Values and prepared statements that a connection carries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
     values: Values,
@@ -30,27 +30,27 @@
 }
 
 impl State {
-    /// Steps that bring the connection to `setup`, in their order.
+    /// Returns the steps that bring the connection to `setup`, in order.
     pub fn steps_to(&self, setup: &Setup) -> Vec<Step> {
         let mut steps = Vec::new();
-        let foreign = |name: &Arc<str>| !setup.values.contains_key(name);
-        let fresh = Self::default();
-        let reset = self.values.keys().any(foreign) || self.prepared.len() > MOST_PREPARED;
-        let known = match reset {
-            true => &fresh,
+        let extra = |name: &Arc<str>| !setup.values.contains_key(name);
+        let empty = Self::default();
+        let reset = self.values.keys().any(extra) || self.prepared.len() > MAX_PREPARED;
+        let start = match reset {
+            true => &empty,
             false => self,
         };
         if reset {
             steps.push(Step::Reset);
         }
         for (name, value) in setup.values.iter() {
-            if known.values.get(name) != Some(value) {
+            if start.values.get(name) != Some(value) {
                 let (name, value) = (name.clone(), value.clone());
                 steps.push(Step::Set { name, value });
             }
         }
         if let Some(prepared) = &setup.prepared
-            && !known.prepared.contains(&prepared.name)
+            && !start.prepared.contains(&prepared.name)
         {
             steps.push(Step::Prepare(prepared.clone()));
         }
@@ -58,7 +58,7 @@
         steps
     }
 
-    /// Takes a step that the member has done.
+    /// Records a step that the member has completed.
     pub fn record(&mut self, step: &Step) {
         match step {
             Step::Reset => *self = Self::default(),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The member does not know a statement that was prepared.
+    /// Records that the member has lost a prepared statement.
     pub fn forget_prepared(&mut self, prepared: &Prepared) {
         self.prepared.remove(&prepared.name);
     }
--- a/tests/unit/classify.rs
+++ b/tests/unit/classify.rs
@@ -2,7 +2,7 @@
 use larkfall::decisions::classify::{Command, Kind, classify};
 
 #[gtest]
-fn statements_go_where_they_may_run() {
+fn statements_are_classified_by_where_they_may_run() {
     for (sql, kind) in [
         ("SELECT 1", Kind::Read),
         ("select * from a join b using (x)", Kind::Read),
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn hints_name_the_kind_and_the_key() {
+fn hints_set_the_read_kind_and_the_once_key() {
     let class = classify("/* larkfall: kind=panel once=sale-17 */ SELECT 1");
     expect_that!(class.read_kind.as_deref(), some(eq("panel")));
     expect_that!(class.once_key.as_deref(), some(eq("sale-17")));
--- a/tests/unit/floors.rs
+++ b/tests/unit/floors.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// A session that knows where it started.
+/// A session that came with a token.
 fn session() -> Floors {
     Floors::new(Some(at(1)))
 }
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn a_write_concerns_kinds_kept_apart_only_where_it_touches_their_tables() {
+fn a_write_raises_the_floor_of_a_separate_kind_only_if_it_touches_its_tables() {
     let mut floors = session();
     floors.record_pending_write(&scope(None, &["answer"]));
     floors.acknowledge_writes(at(9));
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn a_write_to_unknown_tables_concerns_every_read() {
+fn a_write_to_unknown_tables_raises_the_floor_of_every_read() {
     let mut floors = session();
     floors.record_pending_write(&scope(None, &["answer"]));
     floors.record_pending_write(&scope(None, &[]));
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn a_transactions_tables_count_from_its_end_and_not_after_a_rollback() {
+fn pending_writes_raise_no_floor_before_the_commit_or_after_a_rollback() {
     let mut floors = session();
     floors.record_pending_write(&scope(None, &["deck"]));
     expect_that!(
@@ -75,7 +75,7 @@
 }
 
 #[gtest]
-fn reads_raise_their_own_floor_and_the_token_holds_all() {
+fn reads_raise_their_own_floor_and_the_token_covers_all() {
     let mut floors = session();
     let deck = scope(Some("deck"), &["deck"]);
     floors.record_read(&deck, at(3), true);
@@ -88,14 +88,14 @@
 }
 
 #[gtest]
-fn a_forgotten_floor_is_unknown_again() {
+fn after_a_reset_the_floor_is_unknown() {
     let mut floors = session();
     floors.reset();
     expect_that!(floors.token(), none());
 }
 
 #[gtest]
-fn tokens_are_read_back_and_malformed_ones_are_errors() {
+fn tokens_round_trip_and_malformed_ones_are_errors() {
     expect_that!(at(7).token().parse::<Position>(), ok(eq(&at(7))));
     for text in [
         "",
--- a/tests/unit/setup.rs
+++ b/tests/unit/setup.rs
@@ -23,25 +23,25 @@
     }
 }
 
-fn fitted(setup: &Setup) -> State {
-    let mut fitting = State::default();
-    for step in fitting.steps_to(setup) {
-        fitting.record(&step);
+fn state_after(setup: &Setup) -> State {
+    let mut state = State::default();
+    for step in state.steps_to(setup) {
+        state.record(&step);
     }
-    fitting
+    state
 }
 
 #[gtest]
 fn a_connection_is_brought_to_the_sessions_values_and_no_others() {
     let first = setup(&[("lang", "es")], Some("p1"));
-    let fitting = fitted(&first);
-    expect_that!(fitting.steps_to(&first), is_empty());
+    let state = state_after(&first);
+    expect_that!(state.steps_to(&first), is_empty());
     let more = setup(&[("lang", "es"), ("zone", "a")], Some("p1"));
-    expect_that!(fitting.steps_to(&more).len(), eq(1));
+    expect_that!(state.steps_to(&more).len(), eq(1));
     let other = setup(&[("zone", "a")], Some("p1"));
-    let steps = fitting.steps_to(&other);
+    let steps = state.steps_to(&other);
     expect_that!(steps[0], eq(&Step::Reset));
-    // A reset drops what was prepared.
+    // The reset also drops the prepared statement.
     expect_that!(steps.len(), eq(3));
 }
 
@@ -57,11 +57,11 @@
 }
 
 #[gtest]
-fn a_statement_that_a_member_forgot_is_prepared_again() {
+fn a_statement_that_the_member_lost_is_prepared_again() {
     let first = setup(&[], Some("p1"));
-    let mut fitting = fitted(&first);
-    fitting.forget_prepared(first.prepared.as_ref().expect("prepared"));
-    expect_that!(fitting.steps_to(&first).len(), eq(1));
+    let mut state = state_after(&first);
+    state.forget_prepared(first.prepared.as_ref().expect("prepared"));
+    expect_that!(state.steps_to(&first).len(), eq(1));
 }
 
 fn ballot(replaced: u64, turn: u64) -> Ballot {
@@ -77,23 +77,23 @@
     expect_that!(second.generation, gt(first.generation));
     let third = taken(Some(&second), &a, &ballot(1, 1));
     expect_that!(third.generation, gt(second.generation));
-    // A group that was made anew begins its terms again.
-    let anew = taken(Some(&third), &b, &ballot(0, 1));
-    expect_that!(anew.generation, gt(third.generation));
-    // Two boxes that go on from the same number without the table.
+    // A group that is created again starts its terms from the beginning.
+    let recreated = taken(Some(&third), &b, &ballot(0, 1));
+    expect_that!(recreated.generation, gt(third.generation));
+    // Two boxes that continue from the same number without the table.
     let known = Duty {
         holder: "c".into(),
         ..first
     };
-    let alone = taken(Some(&known), &a, &ballot(1, 1)).generation;
+    let by_a = taken(Some(&known), &a, &ballot(1, 1)).generation;
     expect_that!(
         taken(Some(&known), &b, &ballot(1, 1)).generation,
-        not(eq(alone))
+        not(eq(by_a))
     );
 }
 
 #[gtest]
-fn an_order_is_held_to_be_over_once_another_box_has_taken_the_duty() {
+fn a_claim_does_not_stand_once_another_box_has_taken_the_duty() {
     let (a, b): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
     let at = |revision, duty: Duty| Duty { revision, ..duty };
     let claim = |duty: &Duty| Claim {
@@ -108,10 +108,10 @@
     expect_that!(claim(&second).stands(Some(&first)), eq(true));
 }
 
-/// What could have happened: a box orders under a claim that nobody but itself knows of any more,
-/// since the copy lacks it, while another takes the duty from there.
+/// A table that was restored from an older copy lacks the claim, so another box may take the duty
+/// from there while the holder still gives orders.
 #[gtest]
-fn a_claim_does_not_stand_once_the_table_is_an_older_copy() {
+fn a_claim_does_not_stand_after_the_table_was_restored_from_an_older_copy() {
     let a: Arc<str> = "a".into();
     let at = |revision, duty: Duty| Duty { revision, ..duty };
     let first = at(Revision::new(1, 5), taken(None, &a, &ballot(1, 1)));
@@ -120,15 +120,16 @@
         alone: false,
     };
     expect_that!(claim.stands(Some(&first)), eq(true));
-    let again = at(Revision::new(2, 3), first);
-    expect_that!(claim.stands(Some(&again)), eq(false));
+    let restored = at(Revision::new(2, 3), first);
+    expect_that!(claim.stands(Some(&restored)), eq(false));
 }
 
-/// As on trouble-1 of cosecha-larkfall, seed 1055612176309.
+/// A member must not take an earlier order for the newer one, also if the box that gave it was cut
+/// off from the table.
 #[gtest]
 fn a_later_order_has_the_higher_number_also_after_one_without_the_table() {
-    // The first is cut off from the table; the second, whose ballot comes later,
-    // cannot know of its number, but has seen its term at the members.
+    // The first box is cut off from the table. The second, whose ballot comes later, can't know
+    // the first one's number, but has seen its term at the members.
     let claim = |known: Option<&Duty>, holder: &str| Claim {
         duty: taken(known, &holder.into(), &ballot(3, 1)),
         alone: true,
@@ -137,16 +138,16 @@
     let second = claim(None, "edge-santiago-b-2");
     let number = first.number(&ballot(3, 1));
     expect_that!(second.number(&ballot(3, 3)), gt(number));
-    // Also where it has held the duty all along, and the first took itself for the
-    // next holder.
+    // The same if the second box has held the duty all along and the first box took itself for
+    // the next holder.
     let held = claim(None, "edge-santiago-b-2").duty;
     let first = claim(Some(&held), "edge-santiago-a-3");
     let number = first.number(&ballot(3, 2));
-    let again = claim(Some(&held), "edge-santiago-b-2");
-    expect_that!(again.number(&ballot(3, 3)), gt(number));
-    // And after the promotion, whatever the terms of later ballots.
-    expect_that!(again.number(&ballot(4, 1)), gt(number));
-    // Who takes the duty over is above every least number of who had it.
+    let second = claim(Some(&held), "edge-santiago-b-2");
+    expect_that!(second.number(&ballot(3, 3)), gt(number));
+    // The same after the promotion, whatever the terms of later ballots.
+    expect_that!(second.number(&ballot(4, 1)), gt(number));
+    // The next holder's generation is above all numbers of the holder before.
     let next = taken(
         Some(&first.duty),
         &"edge-santiago-b-2".into(),
@@ -156,7 +157,7 @@
 }
 
 #[gtest]
-fn a_slow_member_is_tried_again_after_a_while() {
+fn the_latency_of_a_slow_member_decays() {
     let at = Duration::from_millis;
     let mut latency = Latency::new(at(15));
     latency.record_timeout(at(500), at(1_000));
