--- a/src/decisions/fair.rs
+++ b/src/decisions/fair.rs
@@ -410,8 +410,9 @@
         true
     }
 
-    /// Removes and returns the requests that can't meet their last deadline any more. On-time
-    /// requests that miss their soft deadline become late where that can help.
+    /// Removes and returns the requests that can't be answered in time any more. An on-time
+    /// request that would miss its soft deadline is kept as a late one if it can still meet its
+    /// hard deadline.
     pub fn expire(&mut self, now: Duration) -> Vec<u64> {
         self.clock = now;
         let end = now + self.statement_time();
--- a/src/decisions/limit.rs
+++ b/src/decisions/limit.rs
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Records that a lender could not queue an operation, and the wait that it returned.
+    /// Records that a lender had no grant in time for an operation, and the wait it returned.
     pub fn record_full_queue(&mut self, wait: Duration, now: Duration) {
         self.queue_full_until = now + FULL_QUEUE_COOLDOWN;
         self.retry_wait = wait;
--- a/src/decisions/limit/lender.rs
+++ b/src/decisions/limit/lender.rs
@@ -27,7 +27,7 @@
     Granted,
     /// The operation is queued and should be polled at this time.
     Queued(Ticket, Duration),
-    /// No grant in time; worth a retry after this wait.
+    /// No grant is expected in time; a retry can succeed after this wait.
     Exhausted(Duration),
 }
 
--- a/src/decisions/setup.rs
+++ b/src/decisions/setup.rs
@@ -6,7 +6,7 @@
 
 use crate::borders::upstream::{Opening, Prepared, Setup, Values};
 
-/// Prepared statements to keep on one connection; above it, the connection is reset.
+/// Most prepared statements on one connection; above it, the connection is reset.
 const MAX_PREPARED: usize = 500;
 
 /// One step before the statement.
