--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -16,6 +16,6 @@
 pub mod position;
 pub mod reach;
 pub mod readers;
-pub mod returns;
+pub mod retry_after;
 pub mod route;
 pub mod setup;
--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -26,7 +26,7 @@
 use super::detect::baseline::Baseline;
 use super::duty::Ballot;
 use super::failover::{Failover, Step, Trigger};
-use super::fair::{Admission, Due, Fair};
+use super::fair::{Admission, Deadlines, Queue};
 use super::latency::Latency;
 use super::owners::{LEAST_SHARE, share};
 use super::position::Position;
@@ -62,7 +62,7 @@
     pending_probes: u32,
     last_probe: Option<Duration>,
     probe_wanted: bool,
-    queue: Fair,
+    queue: Queue,
     latency: Latency,
     /// Whether the newest report shows that the member does not lead, or may not lead on.
     demoted: bool,
@@ -117,7 +117,7 @@
             pending_probes: 0,
             last_probe: None,
             probe_wanted: false,
-            queue: Fair::new(capacity, settings.service_time),
+            queue: Queue::new(capacity, settings.service_time),
             latency: Latency::new(settings.service_time),
             demoted: false,
             in_term_at: None,
@@ -138,12 +138,12 @@
 
     /// Expected time until the member answers one more statement.
     fn expected_wait(&self, now: Duration, slots: usize) -> Duration {
-        let load = self.queue.running() + self.queue.on_time();
+        let load = self.queue.running() + self.queue.waiting_on_time();
         let rounds = 1.0 + load as f64 / slots.max(1) as f64;
         let run = self.latency.mean(now);
-        let queued = match self.queue.has_room() {
+        let queued = match self.queue.admits_at_once() {
             true => Duration::ZERO,
-            false => run * (self.queue.on_time() as u32 + 1) / self.queue.places() as u32,
+            false => run * (self.queue.waiting_on_time() as u32 + 1) / self.queue.slots() as u32,
         };
         run.mul_f64(rounds) + queued
     }
@@ -393,7 +393,7 @@
                 self.end_idle_transaction(member, now, &mut out)
             }
             Event::AnswerTimedOut { member, after } => {
-                self.members[member].latency.late(after, now);
+                self.members[member].latency.record_timeout(after, now);
                 self.members[member].detector.hurry(now);
                 if self.members[member].spec.domain != self.domain {
                     self.probe_other_domains(now);
@@ -585,9 +585,9 @@
                 .map(|age| age.as_millis() as u64),
             suspected: member.suspected,
             running: member.queue.running(),
-            resting: member.queue.resting(),
+            resting: member.queue.idle_transactions(),
             waiting: member.queue.waiting(),
-            late: member.queue.waiting() - member.queue.on_time(),
+            late: member.queue.waiting() - member.queue.waiting_on_time(),
             room: member.connection_limit,
         };
         let members = self.members.iter().enumerate();
--- a/src/decisions/group/dispatch.rs
+++ b/src/decisions/group/dispatch.rs
@@ -354,13 +354,13 @@
         let prompt = now < request.arrived + PROMPT_DISPATCH_LIMIT || self.settings.serve_late;
         let aim = request.aim.filter(|_| prompt);
         let limit = request.deadline;
-        let due = Due {
-            aim: aim.map_or(limit, |aim| limit.min(request.arrived + aim)),
+        let due = Deadlines {
+            soft: aim.map_or(limit, |aim| limit.min(request.arrived + aim)),
             // Unless late requests are served, those that miss the target are refused.
-            limit,
+            hard: limit,
         };
-        queue.set_run(run);
-        match queue.arrive(id, &request.partner, request.weight, now, due) {
+        queue.set_statement_time(run);
+        match queue.admit(id, &request.partner, request.weight, now, due) {
             Admission::Run => {
                 let term = self.replace.term;
                 out.push(Action::Assign {
@@ -385,7 +385,7 @@
         self.waiting.for_position.remove(&id);
         self.waiting.for_replica.remove(&id);
         if let Some((_, member)) = self.waiting.queued.remove(&id) {
-            self.members[member].queue.withdraw(id);
+            self.members[member].queue.remove(id);
         }
     }
 
@@ -397,7 +397,7 @@
         out: &mut Vec<Action>,
     ) {
         self.refuse_expired_in_queue(member, now, out);
-        let next = self.members[member].queue.release(took);
+        let next = self.members[member].queue.finish(took);
         self.fill_slot(member, next, now, out);
     }
 
@@ -409,7 +409,7 @@
         out: &mut Vec<Action>,
     ) {
         self.refuse_expired_in_queue(member, now, out);
-        let next = self.members[member].queue.rest(took);
+        let next = self.members[member].queue.go_idle(took);
         self.fill_slot(member, next, now, out);
     }
 
@@ -420,7 +420,7 @@
         out: &mut Vec<Action>,
     ) {
         self.refuse_expired_in_queue(member, now, out);
-        let next = self.members[member].queue.vacate();
+        let next = self.members[member].queue.end_idle();
         self.fill_slot(member, next, now, out);
     }
 
@@ -445,7 +445,7 @@
             // The member became too old for the request meanwhile.
             next = self.members[member]
                 .queue
-                .release(self.settings.service_time);
+                .finish(self.settings.service_time);
             self.dispatch(request, now, out);
         }
     }
@@ -479,10 +479,10 @@
     pub(super) fn lower_connection_limit(&mut self, member: usize, now: Duration) {
         let step = self.draw_raise_interval();
         let known = &mut self.members[member];
-        let in_use = known.queue.running() + known.queue.resting();
+        let in_use = known.queue.running() + known.queue.idle_transactions();
         known.connection_limit = in_use.saturating_sub(1).min(known.connection_limit);
         known.next_limit_raise = now + step;
-        known.queue.set_connections(known.connection_limit);
+        known.queue.set_connection_limit(known.connection_limit);
     }
 
     /// Draws the time until the next raise of a connection limit. Random, so that boxes don't
@@ -502,7 +502,7 @@
             }
             known.connection_limit += 1;
             known.next_limit_raise = now + step;
-            known.queue.set_connections(known.connection_limit);
+            known.queue.set_connection_limit(known.connection_limit);
             let next = known.queue.admit_next();
             self.fill_slot(member, next, now, out);
         }
@@ -521,7 +521,7 @@
         let primary = Some(member) == self.replace.primary;
         let known = &mut self.members[member];
         known.detector.heard(began, now);
-        known.latency.answered(now.saturating_sub(began), now);
+        known.latency.record_answer(now.saturating_sub(began), now);
         if primary && proves_primary {
             self.record_in_term(member, began);
         }
--- a/src/decisions/group/membership.rs
+++ b/src/decisions/group/membership.rs
@@ -148,7 +148,7 @@
         for member in &mut self.members {
             member.connection_limit = connections;
             member.queue.set_capacity(capacity);
-            member.queue.set_connections(connections);
+            member.queue.set_connection_limit(connections);
             member.queue.set_serves_late(serves_late);
         }
     }
--- a/src/decisions/group/timers.rs
+++ b/src/decisions/group/timers.rs
@@ -195,11 +195,11 @@
     ) {
         let serve_late = self.settings.serve_late;
         let queue = &mut self.members[member].queue;
-        let wait = queue.wait();
+        let wait = queue.expected_wait();
         for id in queue.expire(now) {
             self.waiting.queued.remove(&id);
             let retry_after = match serve_late {
-                true => queue.promise_return(now),
+                true => queue.schedule_retry(now),
                 false => wait,
             };
             let refusal = Refusal::overload(retry_after);
--- a/src/node/serving.rs
+++ b/src/node/serving.rs
@@ -72,7 +72,7 @@
 
     fn floor(&self, database: &Database, scope: &Scope) -> Option<Position> {
         match database.access {
-            Access::OwnWrites => self.floors.of(scope),
+            Access::OwnWrites => self.floors.floor_for(scope),
             // The staleness bound is all that is promised.
             Access::Bounded | Access::Primary => Some(Position::ZERO),
         }
@@ -111,9 +111,9 @@
         Access::Bounded => Some("bounded".into()),
     };
     Scope {
-        declared: kind.clone(),
-        kind,
-        ends: intent.commits,
+        read_kind: kind.clone(),
+        separate_kind: kind,
+        ends_transaction: intent.commits,
         ..Scope::default()
     }
 }
--- a/src/node/session.rs
+++ b/src/node/session.rs
@@ -134,7 +134,7 @@
         if !reply.believed {
             let log = &self.context.log;
             events::emit(log, &events::TOKEN_IGNORED, &[("group", &exchange.group)]);
-            self.floors.forget();
+            self.floors.reset();
         }
         self.note_floors(reply, exchange, scope);
         if let Some(status) = reply.status {
@@ -259,7 +259,7 @@
         if exchange.effect == Effect::Writes {
             return metrics.writes.add(1, &[]);
         }
-        let kind = scope.declared.as_deref().unwrap_or("none").to_owned();
+        let kind = scope.read_kind.as_deref().unwrap_or("none").to_owned();
         let labels = [KeyValue::new("kind", kind)];
         match reply.server {
             Server::Replica => metrics.reads_by_replica.add(1, &labels),
@@ -270,21 +270,21 @@
     /// Raises the floors by what was read or written.
     fn note_floors(&mut self, reply: &Reply, exchange: &Exchange, scope: &Scope) {
         if exchange.effect == Effect::Writes {
-            self.floors.writing(scope);
+            self.floors.record_pending_write(scope);
         }
         let ended = reply.lease.is_none();
         match reply.position {
             Some(position) if exchange.effect == Effect::Writes && ended => {
-                self.floors.wrote(position);
+                self.floors.acknowledge_writes(position);
             }
             Some(position) => {
                 let replica = reply.server == Server::Replica;
-                self.floors.read(scope, position, replica);
+                self.floors.record_read(scope, position, replica);
             }
             None => {}
         }
         if ended {
-            self.floors.ended();
+            self.floors.discard_pending_writes();
         }
     }
 }
--- a/tests/unit/setup.rs
+++ b/tests/unit/setup.rs
@@ -7,7 +7,7 @@
 use larkfall::borders::upstream::{Begin, Opening, Prepared, Setup};
 use larkfall::decisions::duty::{Ballot, Claim, Duty, next_duty};
 use larkfall::decisions::latency::Latency;
-use larkfall::decisions::setup::{Fitting, Step};
+use larkfall::decisions::setup::{State, Step};
 
 fn setup(values: &[(&str, &str)], prepared: Option<&str>) -> Setup {
     let values = values
@@ -23,25 +23,25 @@
     }
 }
 
-fn fitted(setup: &Setup) -> Fitting {
-    let mut fitting = Fitting::default();
-    for step in fitting.steps(setup) {
-        fitting.done(&step);
+fn state_after(setup: &Setup) -> State {
+    let mut state = State::default();
+    for step in state.steps_to(setup) {
+        state.record(&step);
     }
-    fitting
+    state
 }
 
 #[gtest]
 fn a_connection_is_brought_to_the_sessions_values_and_no_others() {
     let first = setup(&[("lang", "es")], Some("p1"));
-    let fitting = fitted(&first);
-    expect_that!(fitting.steps(&first), is_empty());
+    let state = state_after(&first);
+    expect_that!(state.steps_to(&first), is_empty());
     let more = setup(&[("lang", "es"), ("zone", "a")], Some("p1"));
-    expect_that!(fitting.steps(&more).len(), eq(1));
+    expect_that!(state.steps_to(&more).len(), eq(1));
     let other = setup(&[("zone", "a")], Some("p1"));
-    let steps = fitting.steps(&other);
+    let steps = state.steps_to(&other);
     expect_that!(steps[0], eq(&Step::Reset));
-    // A reset drops what was prepared.
+    // The reset also drops the prepared statement.
     expect_that!(steps.len(), eq(3));
 }
 
@@ -52,16 +52,16 @@
         begin: Begin::ReadOnly,
         id: "7".into(),
     });
-    let steps = Fitting::default().steps(&with_begin);
+    let steps = State::default().steps_to(&with_begin);
     expect_that!(steps.last(), some(matches_pattern!(Step::Open(_))));
 }
 
 #[gtest]
-fn a_statement_that_a_member_forgot_is_prepared_again() {
+fn a_statement_that_the_member_lost_is_prepared_again() {
     let first = setup(&[], Some("p1"));
-    let mut fitting = fitted(&first);
-    fitting.forget(first.prepared.as_ref().expect("prepared"));
-    expect_that!(fitting.steps(&first).len(), eq(1));
+    let mut state = state_after(&first);
+    state.forget_prepared(first.prepared.as_ref().expect("prepared"));
+    expect_that!(state.steps_to(&first).len(), eq(1));
 }
 
 fn ballot(replaced: u64, turn: u64) -> Ballot {
@@ -80,23 +80,23 @@
     expect_that!(second.generation, gt(first.generation));
     let third = next_duty(Some(&second), &a, &ballot(1, 1));
     expect_that!(third.generation, gt(second.generation));
-    // A group that was made anew begins its terms again.
-    let anew = next_duty(Some(&third), &b, &ballot(0, 1));
-    expect_that!(anew.generation, gt(third.generation));
-    // Two boxes that go on from the same number without the table.
+    // A group that is created again starts its terms from the beginning.
+    let recreated = next_duty(Some(&third), &b, &ballot(0, 1));
+    expect_that!(recreated.generation, gt(third.generation));
+    // Two boxes that continue from the same number without the table.
     let known = Duty {
         holder: "c".into(),
         ..first
     };
-    let alone = next_duty(Some(&known), &a, &ballot(1, 1)).generation;
+    let by_a = next_duty(Some(&known), &a, &ballot(1, 1)).generation;
     expect_that!(
         next_duty(Some(&known), &b, &ballot(1, 1)).generation,
-        not(eq(alone))
+        not(eq(by_a))
     );
 }
 
 #[gtest]
-fn an_order_is_held_to_be_over_once_another_box_has_taken_the_duty() {
+fn a_claim_does_not_stand_once_another_box_has_taken_the_duty() {
     let (a, b): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
     let at = |revision, duty: Duty| Duty { revision, ..duty };
     let claim = |duty: &Duty| Claim {
@@ -111,10 +111,10 @@
     expect_that!(claim(&second).is_current(Some(&first)), eq(true));
 }
 
-/// What could have happened: a box orders under a claim that nobody but itself knows of any more,
-/// since the copy lacks it, while another takes the duty from there.
+/// A table that was restored from an older copy lacks the claim, so another box may take the duty
+/// from there while the holder still gives orders.
 #[gtest]
-fn a_claim_does_not_stand_once_the_table_is_an_older_copy() {
+fn a_claim_does_not_stand_after_the_table_was_restored_from_an_older_copy() {
     let a: Arc<str> = "a".into();
     let at = |revision, duty: Duty| Duty { revision, ..duty };
     let first = at(Revision::new(1, 5), next_duty(None, &a, &ballot(1, 1)));
@@ -123,15 +123,16 @@
         unconfirmed: false,
     };
     expect_that!(claim.is_current(Some(&first)), eq(true));
-    let again = at(Revision::new(2, 3), first);
-    expect_that!(claim.is_current(Some(&again)), eq(false));
+    let restored = at(Revision::new(2, 3), first);
+    expect_that!(claim.is_current(Some(&restored)), eq(false));
 }
 
-/// As on trouble-1 of cosecha-larkfall, seed 1055612176309.
+/// A member must not take an earlier order for the newer one, also if the box that gave it was cut
+/// off from the table.
 #[gtest]
 fn a_later_order_has_the_higher_number_also_after_one_without_the_table() {
-    // The first is cut off from the table; the second, whose ballot comes later,
-    // cannot know of its number, but has seen its term at the members.
+    // The first box is cut off from the table. The second, whose ballot comes later, can't know
+    // the first one's number, but has seen its term at the members.
     let claim = |known: Option<&Duty>, holder: &str| Claim {
         duty: next_duty(known, &holder.into(), &ballot(3, 1)),
         unconfirmed: true,
@@ -140,16 +141,16 @@
     let second = claim(None, "edge-santiago-b-2");
     let number = first.generation(&ballot(3, 1));
     expect_that!(second.generation(&ballot(3, 3)), gt(number));
-    // Also where it has held the duty all along, and the first took itself for the
-    // next holder.
+    // The same if the second box has held the duty all along and the first box took itself for
+    // the next holder.
     let held = claim(None, "edge-santiago-b-2").duty;
     let first = claim(Some(&held), "edge-santiago-a-3");
     let number = first.generation(&ballot(3, 2));
-    let again = claim(Some(&held), "edge-santiago-b-2");
-    expect_that!(again.generation(&ballot(3, 3)), gt(number));
-    // And after the promotion, whatever the terms of later ballots.
-    expect_that!(again.generation(&ballot(4, 1)), gt(number));
-    // Who takes the duty over is above every least number of who had it.
+    let second = claim(Some(&held), "edge-santiago-b-2");
+    expect_that!(second.generation(&ballot(3, 3)), gt(number));
+    // The same after the promotion, whatever the terms of later ballots.
+    expect_that!(second.generation(&ballot(4, 1)), gt(number));
+    // The next holder's generation is above all numbers of the holder before.
     let next = next_duty(
         Some(&first.duty),
         &"edge-santiago-b-2".into(),
@@ -159,15 +160,15 @@
 }
 
 #[gtest]
-fn a_slow_member_is_tried_again_after_a_while() {
+fn the_latency_of_a_slow_member_decays() {
     let at = Duration::from_millis;
     let mut latency = Latency::new(at(15));
-    latency.late(at(500), at(1_000));
+    latency.record_timeout(at(500), at(1_000));
     expect_that!(latency.mean(at(1_000)), eq(at(500)));
     expect_that!(latency.mean(at(2_000)), lt(at(260)));
     expect_that!(latency.mean(at(12_000)), lt(at(20)));
     for i in 0..40 {
-        latency.answered(at(10), at(12_000 + i));
+        latency.record_answer(at(10), at(12_000 + i));
     }
     expect_that!(latency.mean(at(12_040)), lt(at(12)));
 }
