--- a/src/commands/reload.rs
+++ b/src/commands/reload.rs
@@ -12,7 +12,7 @@
 use crate::declarations::finding::Finding;
 use crate::events;
 use crate::metrics::Metrics;
-use crate::platform::file::File;
+use crate::platform::node_file::File;
 
 /// Time between two looks whether the file was written without a signal: a change is taken
 /// within a few seconds, for one look at the file's date.
@@ -69,14 +69,14 @@
 
     /// Takes what may change; a file that holds anything wrong is not taken at all.
     fn take(&mut self, file: File) {
-        let (taken, held) = self.file.changes(&file);
+        let (taken, held) = self.file.changed_fields(&file);
         let fields: [(_, &dyn std::fmt::Display); 2] =
             [("taken", &taken.join(" ")), ("held", &held.join(" "))];
         events::emit(&self.log, &events::RELOAD, &fields);
         self.metrics.settings_read("taken");
-        self.live.send_replace(Arc::new(file.live()));
+        self.live.send_replace(Arc::new(file.live_settings()));
         // Fields that hold are compared with those of the start.
-        self.file = self.file.with_live(&file);
+        self.file = self.file.with_live_fields(&file);
     }
 
     fn refuse(&self, findings: &[Finding]) {
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -12,12 +12,12 @@
 use crate::declarations::finding::Finding;
 use crate::events;
 use crate::node;
-use crate::platform::{file, ports, ready};
+use crate::platform::{node_file, ports, ready};
 
 /// Runs a box with the settings file at `path`.
 pub async fn run(path: Option<String>, metrics_port: Option<u16>) -> anyhow::Result<Exit> {
     let read = path.ok_or_else(no_path);
-    let read = read.and_then(|path| Ok((file::File::read(&path)?, path)));
+    let read = read.and_then(|path| Ok((node_file::File::read(&path)?, path)));
     let (file, path) = match read {
         Ok(read) => read,
         Err(findings) => {
@@ -27,7 +27,7 @@
     };
     let run = Run {
         metrics_port,
-        ..file.run()
+        ..file.run_settings()
     };
     let log = events::logger(run.log);
     let at = file.listen_addrs.ready;
@@ -41,8 +41,8 @@
     });
     let mut ports = ports::platform(&file, &run, &log);
     ports.ready = Some(told);
-    let decisions = file.decisions();
-    let (live_tx, live) = watch::channel(Arc::new(file.live()));
+    let decisions = file.group_settings();
+    let (live_tx, live) = watch::channel(Arc::new(file.live_settings()));
     ports.live = Some(live);
     let reload = Reload {
         path,
@@ -57,7 +57,7 @@
 }
 
 fn no_path() -> Vec<Finding> {
-    vec![finding(file::VARIABLE, "names no settings file")]
+    vec![finding(node_file::PATH_VARIABLE, "names no settings file")]
 }
 
 fn finding(place: &str, message: &str) -> Finding {
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,7 +6,7 @@
 use larkfall::commands::operate::Remote;
 use larkfall::commands::{Exit, check, demo, operate, run, serve, standin};
 use larkfall::configs::run::Source;
-use larkfall::platform::file;
+use larkfall::platform::node_file;
 use tokio::task::LocalSet;
 
 fn main() -> ExitCode {
@@ -45,7 +45,9 @@
             })
             .await
         }
-        LarkfallCmd::Serve(flags) => serve::run(variable(file::VARIABLE), flags.metrics_port).await,
+        LarkfallCmd::Serve(flags) => {
+            serve::run(variable(node_file::PATH_VARIABLE), flags.metrics_port).await
+        }
         LarkfallCmd::StandIn(kind) => match kind.subcommand {
             StandInCmd::Member(flags) => {
                 let flag = |name: &str| member_flag(&flags, name);
--- a/src/platform/callers.rs
+++ b/src/platform/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that speak lines: each connection is a session of the core.
+//! Entry for callers of the line protocol. Each connection is one session.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 
 use super::failure::{self, code};
 use super::line::{Channel, LineError};
-use super::words::{Mode, Statement, position_text, word};
+use super::protocol::{Mode, Statement, format_position, split_word};
 use crate::borders::upstream::{Begin, Opening, Prepared, Setup, Status, Values};
 use crate::decisions::position::Position;
 use crate::declarations::resource::{Database, Workspace};
@@ -26,17 +26,17 @@
 use crate::node::session::Session;
 use crate::secret;
 
-/// Time in which a caller must have said which database it wants.
-const HELLO_WAIT: Duration = Duration::from_secs(10);
-/// What a late caller of a box that leaves, or is cut off, is told to wait: the balancer
-/// asks each second.
-const ELSEWHERE_RETRY: Duration = Duration::from_millis(300);
+/// Time within which a caller must send its CONNECT line.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Retry delay sent to callers that reach this box after the balancer should have turned them
+/// to other boxes. The balancer checks readiness every second.
+const ELSEWHERE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Takes callers that speak lines.
-pub struct Lines;
+/// Accepts callers of the line protocol.
+pub struct LineEntry;
 
 #[async_trait(?Send)]
-impl Entry for Lines {
+impl Entry for LineEntry {
     async fn serve(
         &self,
         context: Rc<Context>,
@@ -44,20 +44,20 @@
         listener: TcpListener,
     ) -> std::io::Result<()> {
         loop {
-            // A leaving box still takes those whom the balancer sends.
+            // A leaving box still serves the callers that the balancer sends.
             let (stream, _) = listener.accept().await?;
             let (context, owner) = (context.clone(), owner.clone());
             tokio::task::spawn_local(async move {
                 let _counted = Caller::new(&context);
                 if let Err(error) = serve(context.clone(), owner, stream).await {
-                    note_end(&context, &error);
+                    log_protocol_error(&context, &error);
                 }
             });
         }
     }
 }
 
-fn note_end(context: &Context, error: &LineError) {
+fn log_protocol_error(context: &Context, error: &LineError) {
     if !matches!(error, LineError::Closed | LineError::Io(_)) {
         events::emit(&context.log, &events::CALLER_PROTOCOL, &[("error", error)]);
     }
@@ -66,12 +66,12 @@
 async fn serve(context: Rc<Context>, owner: Rc<Owner>, stream: TcpStream) -> Result<(), LineError> {
     stream.set_nodelay(true)?;
     let mut channel = Channel::new(stream);
-    let Ok(hello) = tokio::time::timeout(HELLO_WAIT, channel.read()).await else {
+    let Ok(greeting) = tokio::time::timeout(CONNECT_TIMEOUT, channel.read()).await else {
         return Ok(());
     };
-    let hello = hello?;
-    let (verb, rest) = word(&hello);
-    let (database, key) = word(rest);
+    let greeting = greeting?;
+    let (verb, rest) = split_word(&greeting);
+    let (database, key) = split_word(rest);
     if verb != "CONNECT" || database.is_empty() {
         return refuse(
             &mut channel,
@@ -97,10 +97,10 @@
         return refuse(&mut channel, code::NO_KEY, &stranger.to_string()).await;
     }
     if context.is_away_for(context.settings.balancer_turn) {
-        // A session that is closed right after its start looks like a lost answer.
+        // Refused before READY: closing a started session would look like a lost answer.
         let text = format!(
             "not run: callers are served elsewhere; retry after {} ms",
-            ELSEWHERE_RETRY.as_millis()
+            ELSEWHERE_RETRY_DELAY.as_millis()
         );
         return refuse(&mut channel, code::RETRY, &text).await;
     }
@@ -118,20 +118,20 @@
 
 /// A prepared statement of the session.
 #[derive(Clone)]
-struct Named {
+struct NamedStatement {
     prepared: Prepared,
     mode: Mode,
 }
 
 /// An open transaction.
-struct Open {
+struct OpenTransaction {
     database: Arc<Database>,
     begin: Begin,
-    /// Whose it is, where callers need a key.
+    /// Workspace of the caller, if callers need a key.
     workspace: Option<Arc<Workspace>>,
-    /// What no member has been told yet.
-    unsent: Option<Opening>,
-    wrote: bool,
+    /// BEGIN that no member has received yet.
+    unsent_opening: Option<Opening>,
+    has_written: bool,
 }
 
 /// One caller's connection.
@@ -140,16 +140,16 @@
     session: Session,
     channel: Channel,
     database: Arc<str>,
-    /// Digest of the key with which the caller came. Whose it is may change at any time.
+    /// Digest of the caller's key. The workspace that owns the key may change at any time.
     key: Arc<str>,
     values: Arc<Values>,
-    named: HashMap<String, Named>,
-    open: Option<Open>,
+    prepared: HashMap<String, NamedStatement>,
+    open: Option<OpenTransaction>,
 }
 
-/// What a statement is answered with.
+/// Answer to a statement.
 enum Outcome {
-    /// Nothing but that it is done.
+    /// Completed without data.
     Done,
     Error(&'static str, String),
     /// A member's answer.
@@ -171,28 +171,28 @@
         key: Arc<str>,
     ) -> Self {
         Self {
-            // Nothing was read or written yet: every position will do.
+            // Nothing was read or written yet, so every member is current enough.
             session: Session::new(context.clone(), owner, Some(Position::ZERO)),
             context,
             channel,
             database: database.into(),
             key,
             values: Arc::new(BTreeMap::new()),
-            named: HashMap::new(),
+            prepared: HashMap::new(),
             open: None,
         }
     }
 
     async fn run(&mut self) -> Result<(), LineError> {
         loop {
-            // By then the balancer sends no new sessions here: closed idle ones come back
-            // elsewhere.
-            let left = self.context.away_for(self.context.settings.balancer_turn);
+            // Idle sessions are closed only once the balancer sends no callers to this box, so
+            // that they reconnect to another box.
+            let turned_away = self.context.away_for(self.context.settings.balancer_turn);
             let idle = self.open.is_none();
             let line = tokio::select! {
                 biased;
                 line = self.channel.read() => line,
-                () = left, if idle => return Ok(()),
+                () = turned_away, if idle => return Ok(()),
             };
             let line = match line {
                 Err(error @ (LineError::TooLong | LineError::NoText)) => {
@@ -202,12 +202,12 @@
                 }
                 line => line?,
             };
-            let (verb, rest) = word(&line);
+            let (verb, rest) = split_word(&line);
             match verb {
                 "QUERY" => {
-                    let (id, text) = word(rest);
-                    let outcome = self.statement(id, text).await?;
-                    self.answer(outcome).await?;
+                    let (id, text) = split_word(rest);
+                    let outcome = self.run_statement(id, text).await?;
+                    self.send_outcome(outcome).await?;
                 }
                 "QUIT" => return Ok(()),
                 _ => {
@@ -218,7 +218,7 @@
         }
     }
 
-    async fn answer(&mut self, outcome: Outcome) -> Result<(), LineError> {
+    async fn send_outcome(&mut self, outcome: Outcome) -> Result<(), LineError> {
         let mut position = None;
         let mut text = match outcome {
             Outcome::Done => "COMPLETE -\r\n".to_owned(),
@@ -228,13 +228,13 @@
                 String::from_utf8_lossy(&reply.messages).into_owned()
             }
         };
-        let state = self.state();
-        let position = position_text(position);
+        let state = self.transaction_state();
+        let position = format_position(position);
         text.push_str(&format!("READY {state} {position}\r\n"));
         self.channel.write(text.as_bytes()).await
     }
 
-    fn state(&self) -> char {
+    fn transaction_state(&self) -> char {
         match (self.session.status, &self.open) {
             (Status::Failed, _) => 'E',
             (_, Some(_)) => 'T',
@@ -242,12 +242,12 @@
         }
     }
 
-    async fn statement(&mut self, id: &str, text: &str) -> Result<Outcome, LineError> {
+    async fn run_statement(&mut self, id: &str, text: &str) -> Result<Outcome, LineError> {
         let Some(statement) = Statement::parse(text) else {
             return Ok(Outcome::malformed("no statement of this protocol"));
         };
         if self.session.status == Status::Failed {
-            return Ok(self.in_failed(statement));
+            return Ok(self.end_failed_transaction(statement));
         }
         let outcome = match statement {
             Statement::Begin { read_only } => self.begin(id, read_only),
@@ -259,16 +259,17 @@
                 Outcome::Done
             }
             Statement::Prepare { name, mode, text } => {
-                let prepared = shared(text);
-                self.named.insert(name.to_owned(), Named { prepared, mode });
+                let prepared = shared_statement(text);
+                self.prepared
+                    .insert(name.to_owned(), NamedStatement { prepared, mode });
                 Outcome::Done
             }
             Statement::Close { name } => {
-                self.named.remove(name);
+                self.prepared.remove(name);
                 Outcome::Done
             }
-            Statement::Read => return self.run_one(Effect::Reads, id, text, None).await,
-            Statement::Write => return self.run_one(Effect::Writes, id, text, None).await,
+            Statement::Read => return self.serve_statement(Effect::Reads, id, text, None).await,
+            Statement::Write => return self.serve_statement(Effect::Writes, id, text, None).await,
             Statement::Execute { name, arguments } => {
                 return self.execute(id, name, arguments).await;
             }
@@ -276,27 +277,28 @@
         Ok(outcome)
     }
 
-    /// In a failed transaction only its end is taken, and rolls back.
-    fn in_failed(&mut self, statement: Statement<'_>) -> Outcome {
+    /// Handles a statement in a failed transaction: only COMMIT and ROLLBACK are accepted, and
+    /// both roll back.
+    fn end_failed_transaction(&mut self, statement: Statement<'_>) -> Outcome {
         let commits = statement == Statement::Commit;
         if !commits && statement != Statement::Rollback {
             return Outcome::malformed("the transaction has failed; end it");
         }
-        self.end();
+        self.end_transaction();
         match commits {
             true => Outcome::Error(code::ABORTED, "the transaction had failed".to_owned()),
             false => Outcome::Done,
         }
     }
 
-    /// Ends the open transaction without effect.
-    fn end(&mut self) {
+    /// Rolls back and closes the open transaction.
+    fn end_transaction(&mut self) {
         self.session.let_go();
         self.session.end_lost();
         self.open = None;
     }
 
-    /// Opens a transaction. No connection is taken before its first statement.
+    /// Opens a transaction. No connection is taken before the first statement.
     fn begin(&mut self, id: &str, read_only: bool) -> Outcome {
         if self.open.is_some() {
             return Outcome::malformed("a transaction is open already");
@@ -309,17 +311,17 @@
             false => Begin::ReadWrite,
         };
         let Ok(workspace) = self.context.caller(&database, &self.key) else {
-            return self.no_key();
+            return self.refuse_key();
         };
-        self.open = Some(Open {
+        self.open = Some(OpenTransaction {
             database,
             workspace,
             begin,
-            unsent: Some(Opening {
+            unsent_opening: Some(Opening {
                 begin,
                 id: id.into(),
             }),
-            wrote: false,
+            has_written: false,
         });
         Outcome::Done
     }
@@ -328,7 +330,7 @@
         if self.open.is_none() {
             return Outcome::malformed("no transaction is open");
         }
-        self.end();
+        self.end_transaction();
         Outcome::Done
     }
 
@@ -336,7 +338,7 @@
         let Some(open) = &self.open else {
             return Ok(Outcome::malformed("no transaction is open"));
         };
-        let effect = match open.wrote {
+        let effect = match open.has_written {
             true => Effect::Writes,
             false => Effect::Reads,
         };
@@ -349,7 +351,7 @@
         name: &str,
         arguments: &str,
     ) -> Result<Outcome, LineError> {
-        let Some(named) = self.named.get(name).cloned() else {
+        let Some(named) = self.prepared.get(name).cloned() else {
             let text = format!("no prepared statement {name}");
             return Ok(Outcome::Error(code::NOT_PREPARED, text));
         };
@@ -358,10 +360,11 @@
             Mode::Write => Effect::Writes,
         };
         let text = format!("EXECUTE {} {arguments}", named.prepared.name);
-        self.run_one(effect, id, &text, Some(named.prepared)).await
+        self.serve_statement(effect, id, &text, Some(named.prepared))
+            .await
     }
 
-    async fn run_one(
+    async fn serve_statement(
         &mut self,
         effect: Effect,
         id: &str,
@@ -371,9 +374,9 @@
         self.serve(effect, false, id, text, prepared).await
     }
 
-    /// Whose statement comes next. A key that was taken away, or given to another
-    /// workspace, ends an open transaction too.
-    fn caller(&self, database: &Database) -> Result<Option<Arc<Workspace>>, Stranger> {
+    /// Returns the caller's workspace. Fails if the key is no longer valid, or belongs to
+    /// another workspace than at the start of the open transaction.
+    fn check_caller(&self, database: &Database) -> Result<Option<Arc<Workspace>>, Stranger> {
         let workspace = self.context.caller(database, &self.key)?;
         let Some(open) = &self.open else {
             return Ok(workspace);
@@ -385,8 +388,8 @@
         }
     }
 
-    /// Refuses for want of a key; an open transaction fails with it.
-    fn no_key(&mut self) -> Outcome {
+    /// Refuses a statement whose key is not valid. An open transaction fails.
+    fn refuse_key(&mut self) -> Outcome {
         self.context.metrics.strangers.add(1, &[]);
         if self.open.is_some() {
             self.session.fail();
@@ -394,7 +397,7 @@
         Outcome::Error(code::NO_KEY, Stranger.to_string())
     }
 
-    /// Has the core serve a statement while the caller waits for it.
+    /// Serves a statement. Returns early if the caller disconnects.
     async fn serve(
         &mut self,
         effect: Effect,
@@ -410,21 +413,24 @@
         let Some(database) = database else {
             return Ok(no_database());
         };
-        let Ok(workspace) = self.caller(&database) else {
-            return Ok(self.no_key());
+        let Ok(workspace) = self.check_caller(&database) else {
+            return Ok(self.refuse_key());
         };
         let begin = self.open.as_ref().map(|open| open.begin);
-        let opening = self.open.as_ref().and_then(|open| open.unsent.clone());
+        let opening = self
+            .open
+            .as_ref()
+            .and_then(|open| open.unsent_opening.clone());
         let starts = begin.is_none() || opening.is_some();
         if let Some(workspace) = workspace.as_ref().filter(|_| starts) {
-            let aim = Duration::from_millis(database.target_ms);
+            let target = Duration::from_millis(database.target_ms);
             let admitted = tokio::select! {
-                admitted = self.context.admit(workspace, aim) => admitted,
-                error = self.channel.gone() => return Err(error),
+                admitted = self.context.admit(workspace, target) => admitted,
+                error = self.channel.closed() => return Err(error),
             };
             if let Err(refusal) = admitted {
                 let failure = Failure::NotRun(refusal);
-                return Ok(self.took(Err(failure), effect, commits));
+                return Ok(self.record_outcome(Err(failure), effect, commits));
             }
         }
         let work = Work {
@@ -445,29 +451,34 @@
         };
         let served = tokio::select! {
             served = self.session.work(work) => served,
-            error = self.channel.gone() => return Err(error),
+            error = self.channel.closed() => return Err(error),
         };
-        Ok(self.took(served, effect, commits))
+        Ok(self.record_outcome(served, effect, commits))
     }
 
-    /// Keeps the transaction's state by the outcome of its statement.
-    fn took(&mut self, served: Result<Reply, Failure>, effect: Effect, commits: bool) -> Outcome {
+    /// Updates the transaction's state with the outcome of a statement.
+    fn record_outcome(
+        &mut self,
+        served: Result<Reply, Failure>,
+        effect: Effect,
+        commits: bool,
+    ) -> Outcome {
         let outcome = match served {
             Ok(reply) => Outcome::Reply(reply),
             Err(failure) => {
-                let (code, text) = failure::answer(&failure);
+                let (code, text) = failure::error_reply(&failure);
                 Outcome::Error(code, text)
             }
         };
         let Some(open) = &mut self.open else {
             return outcome;
         };
-        open.unsent = None;
-        open.wrote |= effect == Effect::Writes;
+        open.unsent_opening = None;
+        open.has_written |= effect == Effect::Writes;
         let error = matches!(outcome, Outcome::Error(..));
         if commits {
-            // A commit ends its transaction, whatever comes of it.
-            self.end();
+            // A commit ends the transaction whatever its outcome.
+            self.end_transaction();
         } else if error {
             self.session.fail();
         } else if self.session.status == Status::Idle {
@@ -481,8 +492,8 @@
     Outcome::Error(code::NO_DATABASE, "no such database".to_owned())
 }
 
-/// A statement under a name that depends only on what it is.
-fn shared(text: &str) -> Prepared {
+/// Returns a prepared statement named by a hash of its text, so that sessions share it.
+fn shared_statement(text: &str) -> Prepared {
     Prepared {
         name: format!("p{:016x}", xxh3_64(text.as_bytes())).into(),
         text: text.into(),
--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -1,6 +1,6 @@
-//! The orders to a member: report, fence, promote. They go over the same pooled
-//! connections as statements, since a member takes few; a promotion is ordered
-//! from the platform.
+//! Control of a member: status, fence, promote, follow. Commands share the pooled connections
+//! of statements, since a member accepts only a few connections. Promotions are ordered
+//! through the platform's cloud API.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,8 +11,8 @@
 use hyper::Method;
 use serde_json::json;
 
-use super::upstream::OWN;
-use super::words::position;
+use super::protocol::parse_position;
+use super::upstream::INTERNAL_ID;
 use crate::borders::member::{Bid, Member, MemberError, Members, Order, Role, Status, Stream};
 use crate::borders::upstream::{ConnectError, Task, Unrun, UpstreamError, Verdict};
 use crate::decisions::position::Position;
@@ -20,22 +20,21 @@
 use crate::http::{Call, Client};
 use crate::node::pool::Pool;
 
-/// Time for a member's answer. A busy one takes its time: 24 statements may wait
-/// before its 3 slots.
-const ANSWER_WAIT: Duration = Duration::from_millis(900);
-/// Time for the answer to a promotion's order; whether it works shows at the member.
-const ORDER_WAIT: Duration = Duration::from_millis(800);
-/// Time between two looks at a member that is being promoted.
-const PROMOTED_LOOK: Duration = Duration::from_millis(40);
-/// Looks until a promotion counts as failed: it takes 300 to 600 ms.
-const PROMOTED_LOOKS: u32 = 50;
-
-/// Makes the control halves of members.
+/// Timeout of a command, which may wait behind a full queue of statements at the member.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
+/// Timeout of a promotion order. The member's status shows whether it took effect.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Interval between status polls of a member that is being promoted.
+const PROMOTION_POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// Status polls after which a promotion counts as failed.
+const MAX_PROMOTION_POLLS: u32 = 50;
+
+/// Creates the control handles of members.
 pub struct Controls {
     pub pool: Rc<Pool>,
     pub client: Client,
-    /// `IP:port` at which the platform takes promotions.
-    pub cloud: Arc<str>,
+    /// `IP:port` of the API that takes promotion orders.
+    pub cloud_api: Arc<str>,
 }
 
 impl Members for Controls {
@@ -43,7 +42,7 @@
         Rc::new(Control {
             pool: self.pool.clone(),
             client: self.client.clone(),
-            cloud: self.cloud.clone(),
+            cloud_api: self.cloud_api.clone(),
             member: declared.clone(),
         })
     }
@@ -52,44 +51,44 @@
 struct Control {
     pool: Rc<Pool>,
     client: Client,
-    cloud: Arc<str>,
+    cloud_api: Arc<str>,
     member: Declared,
 }
 
 impl Control {
-    async fn ask(&self, text: &str) -> Result<Status, MemberError> {
-        let asked = tokio::time::timeout(ANSWER_WAIT, self.exchange(text)).await;
-        asked.map_err(|_| MemberError::Silent)?
+    async fn run_command(&self, text: &str) -> Result<Status, MemberError> {
+        let answered = tokio::time::timeout(ANSWER_TIMEOUT, self.send_command(text)).await;
+        answered.map_err(|_| MemberError::Silent)?
     }
 
-    async fn exchange(&self, text: &str) -> Result<Status, MemberError> {
+    async fn send_command(&self, text: &str) -> Result<Status, MemberError> {
         let mut connection = self
             .pool
             .take_any(&self.member)
             .await
-            .map_err(unreachable)?;
-        let payload = Bytes::from(format!("{OWN} {text}"));
+            .map_err(connect_error)?;
+        let payload = Bytes::from(format!("{INTERNAL_ID} {text}"));
         let task = Task {
             payload: &payload,
             setup: None,
             floor: None,
         };
-        let answer = connection.run(&task).await.map_err(lost)?;
+        let answer = connection.run(&task).await.map_err(upstream_error)?;
         let lines = String::from_utf8_lossy(&answer.messages).into_owned();
         let applied = connection.position();
         self.pool.put(&self.member, connection);
         match answer.verdict {
-            Verdict::Done => report(&lines, applied),
+            Verdict::Done => parse_status(&lines, applied),
             Verdict::Unrun(Unrun::Busy) => Err(MemberError::Busy),
             _ => Err(MemberError::Nonsense(lines)),
         }
     }
 
-    async fn order(&self, order: &Order) -> Result<(), MemberError> {
+    async fn order_promotion(&self, order: &Order) -> Result<(), MemberError> {
         let body = json!({ "backend": self.member.group, "id": self.member.name });
         let call = Call {
             method: Method::POST,
-            address: &self.cloud,
+            address: &self.cloud_api,
             path: "/promote",
             bearer: None,
             headers: vec![
@@ -98,7 +97,7 @@
                 ("x-fencing-token", order.generation.to_string()),
             ],
             body: body.to_string().into_bytes(),
-            wait: ORDER_WAIT,
+            wait: ORDER_TIMEOUT,
         };
         let answered = self.client.call(call).await;
         answered
@@ -107,7 +106,7 @@
     }
 }
 
-fn unreachable(error: ConnectError) -> MemberError {
+fn connect_error(error: ConnectError) -> MemberError {
     match error {
         ConnectError::Lost(_) => MemberError::Broken,
         ConnectError::Full(_) => MemberError::Busy,
@@ -116,7 +115,7 @@
     }
 }
 
-fn lost(error: UpstreamError) -> MemberError {
+fn upstream_error(error: UpstreamError) -> MemberError {
     match error {
         UpstreamError::Lost(_) => MemberError::Broken,
         UpstreamError::Late => MemberError::Silent,
@@ -124,26 +123,27 @@
     }
 }
 
-/// Reads a status row: role, term, position received, term held, lag, busy, connections.
-pub fn report(lines: &str, applied: Option<Position>) -> Result<Status, MemberError> {
-    let nonsense = || MemberError::Nonsense(lines.to_owned());
-    let row = lines.strip_prefix("DATA ").ok_or_else(nonsense)?;
-    let words: Vec<&str> = row.split_whitespace().collect();
-    let [role, term, received, held, ..] = words[..] else {
-        return Err(nonsense());
+/// Parses a status row: role, term, received position, promised term, and fields that are not
+/// used (lag, busy slots, connections).
+pub fn parse_status(lines: &str, applied: Option<Position>) -> Result<Status, MemberError> {
+    let invalid = || MemberError::Nonsense(lines.to_owned());
+    let row = lines.strip_prefix("DATA ").ok_or_else(invalid)?;
+    let fields: Vec<&str> = row.split_whitespace().collect();
+    let [role, term, received, held, ..] = fields[..] else {
+        return Err(invalid());
     };
     let role = match role {
         "primary" => Role::Primary,
         "replica" => Role::Replica,
-        _ => return Err(nonsense()),
+        _ => return Err(invalid()),
     };
-    let term: u64 = term.parse().map_err(|_| nonsense())?;
-    let held: u64 = held.parse().map_err(|_| nonsense())?;
-    let received = position(received).unwrap_or_default();
+    let term: u64 = term.parse().map_err(|_| invalid())?;
+    let held: u64 = held.parse().map_err(|_| invalid())?;
+    let received = parse_position(received).unwrap_or_default();
     let applied = applied.unwrap_or_default().index.min(received.index);
-    // A member that follows a term has taken over that term's history, also before the
-    // first entry of it; one that receives a later term's entries before it says so is
-    // none of the earlier term's.
+    // A member that reports a term has that term's history even before its first entry. A
+    // member that received entries of a later term has left the earlier term's history, even
+    // if it doesn't report the later term yet.
     let follows = term.max(received.term);
     Ok(Status {
         promised: follows.max(held),
@@ -157,7 +157,7 @@
 #[async_trait(?Send)]
 impl Member for Control {
     async fn status(&self) -> Result<Status, MemberError> {
-        self.ask("STATUS").await
+        self.run_command("STATUS").await
     }
 
     async fn fence(&self, bid: &Bid) -> Result<Status, MemberError> {
@@ -171,7 +171,7 @@
             Role::Primary => format!("STEPDOWN {term}"),
             Role::Replica => format!("PAUSE {term}"),
         };
-        match self.ask(&text).await {
+        match self.run_command(&text).await {
             Ok(status) => Ok(Status {
                 promised: term,
                 ..status
@@ -191,8 +191,8 @@
         stands: &dyn Fn() -> bool,
     ) -> Result<Status, MemberError> {
         let before = self.status().await?;
-        // A restart forgets the fence, and another box's replaces it. Another box's
-        // promotion leads to a term that may be the ballot's by chance.
+        // The fence may be gone: a restart forgets it, and another box's fence replaces it.
+        // Another box's promotion may have led to the same term.
         if before.promised != term || before.log.term >= term {
             return Err(MemberError::Fenced {
                 promised: before.promised,
@@ -201,15 +201,15 @@
         if !stands() {
             return Err(MemberError::Superseded);
         }
-        let ordered = self.order(order).await;
-        for _ in 0..PROMOTED_LOOKS {
-            tokio::time::sleep(PROMOTED_LOOK).await;
+        let ordered = self.order_promotion(order).await;
+        for _ in 0..MAX_PROMOTION_POLLS {
+            tokio::time::sleep(PROMOTION_POLL_INTERVAL).await;
             if let Ok(status) = self.status().await
                 && status.role == Role::Primary
             {
                 return Ok(status);
             }
-            // Without an answer the order may have been carried out.
+            // Only a refusal is final: an order without an answer may still take effect.
             if let Err(MemberError::Nonsense(why)) = &ordered
                 && why.starts_with("status 4")
             {
@@ -220,20 +220,20 @@
     }
 
     async fn follow(&self, term: u64, _: &Address) -> Result<Status, MemberError> {
-        let status = self.ask(&format!("STEPDOWN {term}")).await?;
+        let status = self.run_command(&format!("STEPDOWN {term}")).await?;
         if status.promised > status.log.term {
-            // A promotion ends the fence of the winner only.
-            return self.ask("RESUME").await;
+            // A promotion ends only the fence of the promoted member.
+            return self.run_command("RESUME").await;
         }
         Ok(status)
     }
 
     async fn release(&self) -> Result<(), MemberError> {
-        self.ask("RESUME").await.map(|_| ())
+        self.run_command("RESUME").await.map(|_| ())
     }
 
     async fn gone(&self) {
-        // Statements run on every member all the time and see it first.
+        // Not observed here: the statements running on the member notice its loss first.
         std::future::pending().await
     }
 }
--- a/src/platform/failure.rs
+++ b/src/platform/failure.rs
@@ -1,10 +1,10 @@
-//! The core's failures in the words of the line protocol.
+//! Maps failures of an exchange to error codes and texts of the line protocol.
 
 use crate::decisions::group::{Reason, Refusal};
 use crate::node::exchange::Failure;
 
-/// Codes of our own answers. Those of the first group promise that nothing of the
-/// client's attempt is kept.
+/// Error codes that the proxy itself sends. The first group promises that the attempt has
+/// had no effect.
 pub mod code {
     pub const RETRY: &str = "RETRY";
     pub const ABORTED: &str = "ABORTED";
@@ -18,10 +18,10 @@
     pub const NO_KEY: &str = "NOAUTH";
 }
 
-/// Code and text that tell a caller of a failure.
-pub fn answer(failure: &Failure) -> (&'static str, String) {
+/// Returns the error code and text that a caller receives for a failure.
+pub fn error_reply(failure: &Failure) -> (&'static str, String) {
     match failure {
-        Failure::NotRun(refusal) => (code_of(refusal), not_run(refusal)),
+        Failure::NotRun(refusal) => (refusal_code(refusal), refusal_text(refusal)),
         Failure::NotOwner => (code::RETRY, "not run: no box serves this group".to_owned()),
         Failure::Unknown => {
             let text = "the outcome is unknown: it may have run or not";
@@ -39,7 +39,7 @@
     }
 }
 
-fn code_of(refusal: &Refusal) -> &'static str {
+fn refusal_code(refusal: &Refusal) -> &'static str {
     match refusal.reason {
         Reason::Overload | Reason::Limit => code::OVERLOAD,
         Reason::Retries | Reason::Replacement | Reason::NoSuccessor | Reason::CutOff => code::RETRY,
@@ -47,8 +47,8 @@
     }
 }
 
-fn not_run(refusal: &Refusal) -> String {
-    let why = match refusal.reason {
+fn refusal_text(refusal: &Refusal) -> String {
+    let reason = match refusal.reason {
         Reason::Overload => "the wait would be too long",
         Reason::Retries => "it did not get through",
         Reason::Replacement => "the primary is being replaced",
@@ -58,5 +58,5 @@
         Reason::Stale => "no replica is fresh enough",
     };
     let after = refusal.retry_after.as_millis().max(1);
-    format!("not run: {why}; retry after {after} ms")
+    format!("not run: {reason}; retry after {after} ms")
 }
--- a/src/platform/line.rs
+++ b/src/platform/line.rs
@@ -1,4 +1,4 @@
-//! A socket that carries lines, either end of it.
+//! Line-based transport over a TCP stream, used for callers and for members.
 
 use std::io;
 
@@ -6,30 +6,30 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Longest message, in bytes.
-pub const MOST_LINE: usize = 1024 * 1024;
-/// Room made before each read; an idle connection holds none.
-const READ_ROOM: usize = 2 * 1024;
+/// Longest accepted line.
+pub const MAX_LINE_BYTES: usize = 1024 * 1024;
+/// Buffer capacity reserved before each read. Idle connections keep no buffer.
+const READ_RESERVE_BYTES: usize = 2 * 1024;
 
-/// Why a channel can't go on.
+/// Why a channel can no longer be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
     #[error("connection lost: {0}")]
     Io(#[from] io::Error),
     #[error("the other side closed the connection")]
     Closed,
-    #[error("a line of more than {MOST_LINE} bytes")]
+    #[error("a line of more than {MAX_LINE_BYTES} bytes")]
     TooLong,
     #[error("a line that is no text")]
     NoText,
 }
 
-/// One end of a connection with its buffers.
+/// One end of a connection, with its input buffer.
 pub struct Channel {
     stream: TcpStream,
     input: BytesMut,
-    /// Bytes of the input that are known to hold no line's end.
-    searched: usize,
+    /// Length of the input's prefix that is known to contain no newline.
+    scanned: usize,
 }
 
 impl Channel {
@@ -37,39 +37,39 @@
         Self {
             stream,
             input: BytesMut::new(),
-            searched: 0,
+            scanned: 0,
         }
     }
 
-    /// Next line without its end. Cancel-safe.
+    /// Reads the next line, without its line ending. Cancel-safe.
     pub async fn read(&mut self) -> Result<String, LineError> {
         loop {
-            if let Some(line) = self.take()? {
+            if let Some(line) = self.take_line()? {
                 return Ok(line);
             }
             self.fill().await?;
         }
     }
 
-    fn take(&mut self) -> Result<Option<String>, LineError> {
-        let fresh = &self.input[self.searched..];
-        let Some(end) = fresh.iter().position(|byte| *byte == b'\n') else {
-            self.searched = self.input.len();
-            return match self.searched > MOST_LINE {
+    fn take_line(&mut self) -> Result<Option<String>, LineError> {
+        let unscanned = &self.input[self.scanned..];
+        let Some(end) = unscanned.iter().position(|byte| *byte == b'\n') else {
+            self.scanned = self.input.len();
+            return match self.scanned > MAX_LINE_BYTES {
                 true => Err(LineError::TooLong),
                 false => Ok(None),
             };
         };
-        let mut line = self.input.split_to(self.searched + end);
+        let mut line = self.input.split_to(self.scanned + end);
         self.input.advance(1);
-        self.searched = 0;
+        self.scanned = 0;
         if self.input.is_empty() {
             self.input = BytesMut::new();
         }
         if line.last() == Some(&b'\r') {
             line.truncate(line.len() - 1);
         }
-        if line.len() > MOST_LINE {
+        if line.len() > MAX_LINE_BYTES {
             return Err(LineError::TooLong);
         }
         let text = String::from_utf8(line.to_vec());
@@ -79,7 +79,7 @@
     async fn fill(&mut self) -> Result<(), LineError> {
         loop {
             self.stream.readable().await?;
-            self.input.reserve(READ_ROOM);
+            self.input.reserve(READ_RESERVE_BYTES);
             match self.stream.try_read_buf(&mut self.input) {
                 Ok(0) => return Err(LineError::Closed),
                 Ok(_) => return Ok(()),
@@ -89,10 +89,11 @@
         }
     }
 
-    /// Returns when the other side is gone. What it sends meanwhile is kept.
-    pub async fn gone(&mut self) -> LineError {
+    /// Waits until the connection is lost or the input grows too long. Input received meanwhile
+    /// is kept.
+    pub async fn closed(&mut self) -> LineError {
         loop {
-            if self.input.len() > MOST_LINE {
+            if self.input.len() > MAX_LINE_BYTES {
                 return LineError::TooLong;
             }
             if let Err(error) = self.fill().await {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Whether nothing came that nobody asked for, the end included.
+    /// Whether the peer has neither sent unexpected data nor closed the connection.
     pub fn is_quiet(&mut self) -> bool {
         if !self.input.is_empty() {
             return false;
--- a/src/platform/manifest.rs
+++ b/src/platform/manifest.rs
@@ -1,4 +1,4 @@
-//! The operator's manifest as declarations of the product.
+//! Parses the operator's manifest into declarations.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 use crate::declarations::resource::{Key, Kind};
 use crate::secret;
 
-/// The platform has one operator; its declarations belong to this partner.
+/// Partner of all declarations: the platform has a single operator.
 pub const PARTNER: &str = "platform";
 
-/// A manifest, whole.
+/// The operator's manifest.
 #[derive(Clone, Deserialize)]
 pub struct Manifest {
     pub version: u64,
@@ -22,7 +22,7 @@
     services: Vec<Service>,
     #[serde(default)]
     limits: Limits,
-    /// Missing where callers need no key at all.
+    /// Workspaces; `None` if callers need no keys.
     tenants: Option<Vec<Tenant>>,
 }
 
@@ -33,16 +33,16 @@
     #[serde(default)]
     api_keys: Vec<String>,
     priority: Option<u64>,
-    /// Operations a second over all boxes.
+    /// Limit of operations per second, over all boxes.
     rate_per_s: Option<f64>,
-    /// Operations above the rate that may come at once.
+    /// Operations above the rate that are admitted at once.
     burst: Option<f64>,
 }
 
-/// A name under which callers connect, and how its statements are served.
+/// A database that callers connect to, and how its statements are served.
 #[derive(Clone, Debug, Deserialize)]
 struct Route {
-    /// The database's name for callers; a route without one is not reached.
+    /// Name of the database; a route without one declares nothing.
     #[serde(default)]
     hostname: Option<Arc<str>>,
     #[serde(rename = "type", default)]
@@ -50,10 +50,10 @@
     timeout_ms: Option<u64>,
     target_latency_ms: Option<f64>,
     priority: Option<u64>,
-    /// The group that serves it.
+    /// Group that serves the database.
     backend: Arc<str>,
     max_staleness_ms: Option<u64>,
-    /// Served without a key.
+    /// Whether callers need no key.
     #[serde(default)]
     public: bool,
 }
@@ -62,20 +62,20 @@
 #[derive(Clone, Debug, Deserialize)]
 struct Service {
     name: Arc<str>,
-    /// Connections that a member takes from all boxes together.
+    /// Connection limit of each member, over all boxes.
     max_connections: Option<u64>,
-    /// Replicas that hold a write before its member answers it.
+    /// Replicas that must hold a write before the primary acknowledges it.
     #[serde(default)]
     sync_replicas: u64,
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
 struct Limits {
-    /// An open transaction may be ended after a rest this long.
+    /// Idle timeout of open transactions.
     tx_idle_ms: Option<u64>,
 }
 
-/// Declarations by key.
+/// Declarations by resource key.
 pub type Declarations = BTreeMap<Key, Value>;
 
 impl Manifest {
@@ -83,7 +83,7 @@
         serde_json::from_slice(bytes)
     }
 
-    /// The same as resources of the product.
+    /// Returns the resources that the manifest declares.
     pub fn declarations(&self) -> Declarations {
         let groups = self.services.iter().map(|service| self.group(service));
         let databases = self.routes.iter();
@@ -96,26 +96,29 @@
         let fields = json!({
             "partner": PARTNER,
             "name": service.name,
-            // Where no replica needs to hold a write, a replacement may lose it.
-            "durability": match holds_alone(service) {
+            // A write that only the primary holds may be lost in a failover.
+            "durability": match is_acknowledged_alone(service) {
                 true => "primary",
                 false => "members",
             },
             "connections": service.max_connections,
-            // As many boxes as the connections allow.
+            // 0: as many owners as the connections allow.
             "owners": 0,
             "idle_ms": self.limits.tx_idle_ms,
         });
-        (key(Kind::Group, service.name.clone()), given(fields))
+        (
+            resource_key(Kind::Group, service.name.clone()),
+            without_nulls(fields),
+        )
     }
 }
 
-/// Whether a write is acknowledged when the primary alone holds it.
-fn holds_alone(service: &Service) -> bool {
+/// Whether the primary acknowledges writes that no replica holds.
+fn is_acknowledged_alone(service: &Service) -> bool {
     service.sync_replicas == 0
 }
 
-/// A workspace, with digests in place of its keys: they go no further.
+/// Returns a workspace's declaration. It holds digests of the keys, never the keys.
 fn workspace(tenant: &Tenant) -> (Key, Value) {
     let keys = tenant.api_keys.iter().map(|key| secret::hash(key));
     let fields = json!({
@@ -123,14 +126,17 @@
         "name": tenant.name,
         "keys": keys.collect::<Vec<_>>(),
         "priority": tenant.priority,
-        "rate_per_s": tenant.rate_per_s.map(whole),
-        "burst": tenant.burst.map(whole),
+        "rate_per_s": tenant.rate_per_s.map(whole_operations),
+        "burst": tenant.burst.map(whole_operations),
     });
-    (key(Kind::Workspace, tenant.name.clone()), given(fields))
+    (
+        resource_key(Kind::Workspace, tenant.name.clone()),
+        without_nulls(fields),
+    )
 }
 
-/// A limit in whole operations.
-fn whole(limit: f64) -> u64 {
+/// Rounds a limit down to whole operations.
+fn whole_operations(limit: f64) -> u64 {
     limit.max(0.0).floor() as u64
 }
 
@@ -147,11 +153,11 @@
         "priority": route.priority,
         "keyed": keyed && !route.public,
     });
-    Some((key(Kind::Database, name), given(fields)))
+    Some((resource_key(Kind::Database, name), without_nulls(fields)))
 }
 
-/// Leaves out what the manifest does not give, so that defaults hold.
-fn given(fields: Value) -> Value {
+/// Drops null fields, so that the declaration's defaults apply.
+fn without_nulls(fields: Value) -> Value {
     let Value::Object(fields) = fields else {
         return fields;
     };
@@ -159,7 +165,8 @@
     Value::Object(given.collect())
 }
 
-pub fn key(kind: Kind, name: Arc<str>) -> Key {
+/// Returns the key of a resource that belongs to the platform's partner.
+pub fn resource_key(kind: Kind, name: Arc<str>) -> Key {
     Key {
         kind,
         partner: PARTNER.into(),
--- a/src/platform/members.rs
+++ b/src/platform/member_entry.rs
@@ -1,8 +1,7 @@
-//! The members' own entries in the store as declarations of the product.
+//! Parses the entries that members write to the store into member declarations.
 //!
-//! An entry may come from another writer. One that lacks a field, or holds something else
-//! than a member writes, declares nobody: better one member less than callers sent to a
-//! stranger.
+//! Other writers may write to the same table. An entry that lacks a field, or has a field of
+//! the wrong type, is rejected, since callers must not be routed to an unknown address.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,27 +9,27 @@
 use serde::Deserialize;
 use serde_json::{Number, Value, json};
 
-use super::manifest::{PARTNER, key};
+use super::manifest::{PARTNER, resource_key};
 use crate::declarations::check::is_name;
 use crate::declarations::resource::{Key, Kind};
 
-/// A member's entry. The role that it tells is not used: its own reports are newer.
+/// A member's entry. Its role is not read: the member's status reports are newer.
 #[derive(Clone, Debug, Deserialize)]
 struct Entry {
-    /// The group it belongs to.
+    /// Group of the member.
     backend: Arc<str>,
     address: SocketAddr,
     /// Failure domain.
     zone: Arc<str>,
     state: State,
-    /// Unix milliseconds of its start.
+    /// Start of the member's process, in Unix milliseconds.
     #[serde(default)]
     born: Option<u64>,
     #[serde(flatten)]
     _unused: Unused,
 }
 
-/// Fields that only tell whether a member wrote the entry.
+/// Required fields whose values are not used: an entry without them is not a member's.
 #[derive(Clone, Debug, Deserialize)]
 struct Unused {
     #[serde(rename = "version")]
@@ -47,26 +46,26 @@
 #[serde(rename_all = "lowercase")]
 enum State {
     Ready,
-    /// It asks for no new work.
+    /// The member is leaving and asks for no new work.
     Draining,
 }
 
-/// Why an entry declares nobody.
+/// Why an entry is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    #[error("no member's entry: {0}")]
+    #[error("not a member's entry: {0}")]
     Unreadable(#[from] serde_json::Error),
-    #[error("{0:?} is no name")]
-    Unnamed(Arc<str>),
+    #[error("{0:?} is not a valid name")]
+    InvalidName(Arc<str>),
 }
 
-/// The member under `id`, as a resource of the product.
-pub fn declaration(id: &Arc<str>, bytes: &[u8]) -> Result<(Key, Value), EntryError> {
+/// Parses the entry of the member `id` into a resource.
+pub fn parse_declaration(id: &Arc<str>, bytes: &[u8]) -> Result<(Key, Value), EntryError> {
     let entry: Entry = serde_json::from_slice(bytes)?;
-    // A name with a dot could pass for another member of another group.
+    // The resource is named GROUP.ID: a dot in either would make the name ambiguous.
     let names = [id, &entry.backend, &entry.zone];
     if let Some(name) = names.into_iter().find(|name| !is_name(name)) {
-        return Err(EntryError::Unnamed(name.clone()));
+        return Err(EntryError::InvalidName(name.clone()));
     }
     let name: Arc<str> = format!("{}.{id}", entry.backend).into();
     let address = entry.address.to_string();
@@ -75,11 +74,11 @@
         "group": entry.backend,
         "name": id,
         "sql": address,
-        // Statements and orders share its connections.
+        // Statements and control commands use the same address.
         "control": address,
         "domain": entry.zone,
         "leaving": entry.state == State::Draining,
         "born": entry.born,
     });
-    Ok((key(Kind::Member, name), fields))
+    Ok((resource_key(Kind::Member, name), fields))
 }
--- a/src/platform/file.rs
+++ b/src/platform/node_file.rs
@@ -1,7 +1,7 @@
-//! The settings file that the platform lays for each process, in YAML.
+//! The YAML settings file that the platform writes for each process.
 //!
-//! Fields that are not known are skipped: the file may gain some. What is missing
-//! or malformed is a finding with its place.
+//! Unknown fields are ignored, since the platform may add some. Missing or malformed fields
+//! are reported as findings.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -16,111 +16,114 @@
 use crate::declarations::finding::Finding;
 use crate::events::Format;
 
-/// Variable that names the file.
-pub const VARIABLE: &str = "LARKFALL_NODE_FILE";
+/// Environment variable that holds the file's path.
+pub const PATH_VARIABLE: &str = "LARKFALL_NODE_FILE";
 
-/// The longest time that a bound may be: a day, in milliseconds.
-const MOST_MS: f64 = 86_400_000.0;
-/// Field of a finding about the file as a whole.
-const WHOLE: &str = "settings";
+/// Upper limit of the times in `bounds`: one day.
+const MAX_BOUND_MS: f64 = 86_400_000.0;
+/// Field name of findings about the file as a whole.
+const WHOLE_FILE: &str = "settings";
 
-/// Time kept between the end of a drain and the platform's kill.
+/// Time between the end of the drain and the platform's kill.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
-/// Callers at once for each descriptor that a process may open: each caller takes
-/// one, and a quarter is kept for members, peers and files.
-const CALLERS_PERCENT: u64 = 75;
-/// Time that a new connection to a member may take: 12 ms on the sites, and a lost
-/// packet is sent again after a second.
-const CONNECT_WAIT: Duration = Duration::from_millis(400);
-/// The balancer asks each box every second, and turns away after two misses: by then it has.
-const BALANCER_TURN: Duration = Duration::from_millis(2_300);
-/// The same, at the mean.
-const BALANCER_NOTICE: Duration = Duration::from_millis(1_500);
-/// Part of the operations by which a workspace may pass its limit that is used.
-const SLACK_USED: f64 = 0.5;
-/// The most that is used.
-const MOST_SLACK: f64 = 1_000_000.0;
-/// The largest part of a limit by which it may be passed.
-const MOST_OVERAGE: f64 = 1.0;
-/// The part of the rules under which callers compete for too little room.
-const PRESSURE: &str = "pressure";
-/// The part of the rules on the members' connections, which sessions share.
-const POOL: &str = "pool";
-/// A cut makes every statement of a second be placed again, once or twice.
+/// Percentage of the file descriptors available to callers, who take one each. The rest is for
+/// members, peers and files.
+const CALLERS_PERCENT_OF_FDS: u64 = 75;
+/// Timeout of a new connection to a member. TCP retransmits a lost
+/// packet only after a second, so waiting longer gains little.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time after which the balancer certainly sends no callers to a box that is not ready. The
+/// balancer checks readiness every second and reacts to the second failed check.
+const MAX_BALANCER_DELAY: Duration = Duration::from_millis(2_300);
+/// Mean time after which the balancer sends no callers to a box that is not ready.
+const MEAN_BALANCER_DELAY: Duration = Duration::from_millis(1_500);
+/// Share of the platform's quota tolerances that the limits use.
+const QUOTA_TOLERANCE_SHARE: f64 = 0.5;
+/// Upper limit of the used slack, in operations.
+const MAX_LIMIT_SLACK: f64 = 1_000_000.0;
+/// Upper limit of the used overage, as a share of the limit.
+const MAX_LIMIT_OVERAGE: f64 = 1.0;
+/// Contract under which callers compete for scarce capacity.
+const PRESSURE_CONTRACT: &str = "pressure";
+/// Contract under which sessions share the members' connections.
+const POOL_CONTRACT: &str = "pool";
+/// Retries earned per hundred answers. Allows for a network partition, in which every statement
+/// is retried.
 const RETRY_PERCENT: u64 = 20;
-const RETRY_MOST: u64 = 100;
+/// Retries that can be saved up.
+const MAX_SAVED_RETRIES: u64 = 100;
 
-/// The fields that are used.
+/// The fields of the settings file that are used.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct File {
     pub node_name: Arc<str>,
     pub ip: IpAddr,
-    /// Failure domain.
+    /// Failure domain of the box.
     pub zone: Arc<str>,
     pub listen_addrs: Listen,
-    /// Ports between the system's own processes, first and last.
+    /// First and last port for traffic between boxes.
     pub internal_port_range: (u16, u16),
-    /// Peers' addresses for the start; may be stale.
+    /// Addresses of peers to contact at startup. May be outdated.
     #[serde(default)]
     pub seeds: Vec<Arc<str>>,
-    /// The whole system starts for the first time.
+    /// Whether the whole deployment starts for the first time.
     #[serde(default)]
     pub bootstrap: bool,
     pub limits: Limits,
     pub bounds: Bounds,
-    /// Parts of the platform's rules that are in force.
+    /// Names of the platform's contracts in force.
     #[serde(default)]
     pub contracts: Vec<Arc<str>>,
-    /// What may be lost at once.
+    /// Losses that the service must tolerate.
     #[serde(default)]
     pub fault_tolerance: Tolerance,
     pub platform: Service,
-    /// Where promotions are ordered.
+    /// API that takes promotion orders.
     pub cloud_api: Service,
 }
 
-/// Where the process listens.
+/// Listen addresses of the process.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Listen {
-    /// Callers.
+    /// Address for callers.
     pub front: SocketAddr,
-    /// The balancer's question whether it may send callers.
+    /// Address of the readiness endpoint for the balancer.
     pub ready: SocketAddr,
-    /// Peers, resource API, metrics, dump.
+    /// Address for peers, the resource API, metrics and the dump.
     pub control: Option<SocketAddr>,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Limits {
-    /// Descriptors that the process may open.
+    /// File descriptor limit of the process.
     pub max_fds: u64,
-    /// Width of the machine's link.
+    /// Bandwidth of the machine's link; 0 if unknown.
     #[serde(default)]
     pub link_mbps: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Bounds {
-    /// Seconds between the signal to stop and the kill.
+    /// Seconds between the stop signal and the kill.
     pub grace_s: f64,
-    /// Milliseconds after its word from which nothing may reach a leaving member.
+    /// Milliseconds after a member's leave notice from which no request may reach the member.
     #[serde(default = "drain_ms")]
     pub drain_ms: f64,
-    /// Milliseconds after which an accepted change has to be in force.
+    /// Milliseconds within which an accepted change must be in force.
     #[serde(default = "config_apply_ms")]
     pub config_apply_ms: f64,
-    /// Operations by which a workspace may pass its limit.
+    /// Operations by which a workspace may exceed its limit.
     #[serde(default)]
     pub quota_slack: f64,
-    /// Part of its limit by which it may pass it besides.
+    /// Additional share of the limit by which a workspace may exceed it.
     #[serde(default)]
     pub quota_overage: f64,
 }
 
-/// What the system has to bear the loss of.
+/// Simultaneous losses that the service must tolerate.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Tolerance {
-    /// Whole failure domains.
+    /// Number of failure domains.
     #[serde(default)]
     pub zones: u64,
 }
@@ -132,8 +135,8 @@
     pub address: Arc<str>,
 }
 
-/// Names of the fields that differ.
-fn named(fields: &[(&'static str, bool)]) -> Vec<&'static str> {
+/// Returns the names of the fields that differ.
+fn differing_fields(fields: &[(&'static str, bool)]) -> Vec<&'static str> {
     let differ = fields.iter().filter(|(_, differs)| *differs);
     differ.map(|(field, _)| *field).collect()
 }
@@ -148,7 +151,7 @@
 }
 
 fn drain_ms() -> f64 {
-    settings::DRAIN.as_secs_f64() * 1_000.0
+    settings::DEFAULT_DRAIN.as_secs_f64() * 1_000.0
 }
 
 fn config_apply_ms() -> f64 {
@@ -159,14 +162,14 @@
     /// Reads and checks the file at `path`.
     pub fn read(path: &str) -> Result<Self, Vec<Finding>> {
         let text = std::fs::read_to_string(path);
-        let text = text.map_err(|error| vec![finding(path, WHOLE, &error.to_string())])?;
+        let text = text.map_err(|error| vec![finding(path, WHOLE_FILE, &error.to_string())])?;
         Self::parse(path, &text)
     }
 
     /// Reads and checks the file's text.
     pub fn parse(place: &str, text: &str) -> Result<Self, Vec<Finding>> {
         let parsed = serde_saphyr::from_str::<Self>(text);
-        let file = parsed.map_err(|error| vec![finding(place, WHOLE, &error.to_string())])?;
+        let file = parsed.map_err(|error| vec![finding(place, WHOLE_FILE, &error.to_string())])?;
         let findings = file.check(place);
         match findings.is_empty() {
             true => Ok(file),
@@ -174,7 +177,7 @@
         }
     }
 
-    /// What no field's type rules out.
+    /// Checks constraints that the field types don't express.
     fn check(&self, place: &str) -> Vec<Finding> {
         let times = [
             ("bounds.grace_s", self.bounds.grace_s * 1_000.0),
@@ -183,7 +186,7 @@
         ];
         let times = times
             .into_iter()
-            .filter(|(_, ms)| !(0.0..=MOST_MS).contains(ms));
+            .filter(|(_, ms)| !(0.0..=MAX_BOUND_MS).contains(ms));
         let times = times.map(|(field, _)| finding(place, field, "must be a time up to a day"));
         let addresses = [
             ("platform.address", &self.platform.address),
@@ -195,10 +198,10 @@
         times.chain(addresses).collect()
     }
 
-    /// Fields in which another reading of the file differs: those that a running box takes
-    /// over, and those that hold until its next start.
-    pub fn changes(&self, other: &File) -> (Vec<&'static str>, Vec<&'static str>) {
-        let taken = [
+    /// Returns the fields that differ in `other`: first those that a running box adopts, then
+    /// those that need a restart.
+    pub fn changed_fields(&self, other: &File) -> (Vec<&'static str>, Vec<&'static str>) {
+        let adopted = [
             ("seeds", self.seeds != other.seeds),
             (
                 "limits.max_fds",
@@ -213,7 +216,7 @@
                 self.bounds.drain_ms != other.bounds.drain_ms,
             ),
         ];
-        let held = [
+        let restart = [
             ("node_name", self.node_name != other.node_name),
             ("ip", self.ip != other.ip),
             ("zone", self.zone != other.zone),
@@ -246,11 +249,11 @@
             ("platform", self.platform != other.platform),
             ("cloud_api", self.cloud_api != other.cloud_api),
         ];
-        (named(&taken), named(&held))
+        (differing_fields(&adopted), differing_fields(&restart))
     }
 
-    /// The same with what a running box takes over of another reading.
-    pub fn with_live(&self, other: &File) -> Self {
+    /// Returns this file with the fields of `other` that a running box adopts.
+    pub fn with_live_fields(&self, other: &File) -> Self {
         let mut file = self.clone();
         file.seeds = other.seeds.clone();
         file.limits.max_fds = other.limits.max_fds;
@@ -259,85 +262,88 @@
         file
     }
 
-    /// Settings that a running box takes over.
-    pub fn live(&self) -> Live {
+    /// Returns the settings that a running box adopts.
+    pub fn live_settings(&self) -> Live {
         Live {
-            leave_most: Some(self.decisions().leave_most),
-            ..Live::new(&self.run())
+            leave_most: Some(self.group_settings().leave_most),
+            ..Live::new(&self.run_settings())
         }
     }
 
-    /// Address of the peers' and operators' API.
-    pub fn api(&self) -> SocketAddr {
-        let own = SocketAddr::new(self.ip, self.internal_port_range.0);
-        self.listen_addrs.control.unwrap_or(own)
+    /// Returns the address of the API for peers and operators.
+    pub fn api_address(&self) -> SocketAddr {
+        let default = SocketAddr::new(self.ip, self.internal_port_range.0);
+        self.listen_addrs.control.unwrap_or(default)
     }
 
-    /// Settings of the decisions.
-    pub fn decisions(&self) -> Settings {
+    /// Returns the settings of the group decisions.
+    pub fn group_settings(&self) -> Settings {
         let drain = Duration::from_secs_f64(self.bounds.drain_ms.max(0.0) / 1_000.0);
         Settings {
-            rests: self.holds(POOL),
-            serve_late: self.holds(POOL),
-            domain_loss: self.bears_domain_loss(),
-            ..settings::with_drain(drain)
+            rests: self.has_contract(POOL_CONTRACT),
+            serve_late: self.has_contract(POOL_CONTRACT),
+            domain_loss: self.tolerates_domain_loss(),
+            ..settings::group_settings_with_drain(drain)
         }
     }
 
-    /// Whether a part of the platform's rules is in force.
-    fn holds(&self, contract: &str) -> bool {
-        self.contracts.iter().any(|held| **held == *contract)
+    /// Whether a contract of the platform is in force.
+    fn has_contract(&self, contract: &str) -> bool {
+        self.contracts.iter().any(|name| **name == *contract)
     }
 
-    fn bears_domain_loss(&self) -> bool {
+    fn tolerates_domain_loss(&self) -> bool {
         self.fault_tolerance.zones > 0
     }
 
     fn limit_overage(&self) -> f64 {
-        match self.holds(PRESSURE) {
-            true => (self.bounds.quota_overage * SLACK_USED).clamp(0.0, MOST_OVERAGE),
+        match self.has_contract(PRESSURE_CONTRACT) {
+            true => {
+                (self.bounds.quota_overage * QUOTA_TOLERANCE_SHARE).clamp(0.0, MAX_LIMIT_OVERAGE)
+            }
             false => 0.0,
         }
     }
 
-    /// The rest is kept for what waits before a member while its time counts already.
+    /// Returns the used slack. The unused share covers operations that are already counted
+    /// while they wait for a member.
     fn limit_slack(&self) -> u32 {
-        (self.bounds.quota_slack * SLACK_USED).clamp(0.0, MOST_SLACK) as u32
+        (self.bounds.quota_slack * QUOTA_TOLERANCE_SHARE).clamp(0.0, MAX_LIMIT_SLACK) as u32
     }
 
     fn apply(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.config_apply_ms.max(0.0) / 1_000.0)
     }
 
-    /// The same as settings of a box.
-    pub fn run(&self) -> Run {
+    /// Returns the settings of a box.
+    pub fn run_settings(&self) -> Run {
         let grace = Duration::from_secs_f64(self.bounds.grace_s.max(0.0));
         Run {
             name: self.node_name.clone(),
             domain: self.zone.clone(),
             ip: self.ip,
             port: self.listen_addrs.front.port(),
-            api_port: self.api().port(),
+            api_port: self.api_address().port(),
             platform: self.platform.address.clone(),
             peers: self.seeds.clone(),
             log: Format::Json,
-            connect_wait: CONNECT_WAIT,
-            callers: (self.limits.max_fds * CALLERS_PERCENT / 100) as usize,
+            connect_wait: CONNECT_TIMEOUT,
+            callers: (self.limits.max_fds * CALLERS_PERCENT_OF_FDS / 100) as usize,
             drain: grace.saturating_sub(KILL_MARGIN),
-            balancer_turn: BALANCER_TURN,
-            balancer_notice: BALANCER_NOTICE,
-            // Every box hears of changes from the store itself.
+            balancer_turn: MAX_BALANCER_DELAY,
+            balancer_notice: MEAN_BALANCER_DELAY,
+            // Not needed: every box learns of changes from the store.
             fanout: 0,
             retry_percent: RETRY_PERCENT,
-            retry_most: RETRY_MOST,
+            retry_most: MAX_SAVED_RETRIES,
             duty: true,
             follow: true,
             link_mbps: self.limits.link_mbps as u32,
             apply: self.apply(),
             limit_slack: self.limit_slack(),
             limit_overage: self.limit_overage(),
-            limit_waits: self.holds(PRESSURE),
-            domain_loss: self.bears_domain_loss(),
+            limit_waits: self.has_contract(PRESSURE_CONTRACT),
+            domain_loss: self.tolerates_domain_loss(),
             first_start: self.bootstrap,
             ..Run::default()
         }
--- a/src/platform/ports.rs
+++ b/src/platform/ports.rs
@@ -1,48 +1,48 @@
-//! The borders of a box on the users' platform.
+//! Builds the ports of a box on the users' platform.
 
 use std::rc::Rc;
 
 use slog::Logger;
 
-use super::callers::Lines;
+use super::callers::LineEntry;
 use super::control::Controls;
-use super::file::File;
+use super::node_file::File;
 use super::store::Store;
 use super::table::{self, Mirror};
-use super::upstream::Remote;
+use super::upstream::LineDialer;
 use crate::configs::run::Run;
 use crate::decisions::readers;
 use crate::http::Client;
 use crate::metrics::Metrics;
 use crate::node::run::Ports;
 
-/// Ports for this file; `run` are the settings made of it.
+/// Builds the ports from the settings file and the run settings derived from it.
 pub fn platform(file: &File, run: &Run, log: &Logger) -> Ports {
     let client = Client::new(file.ip);
     let store = Store::new(client.clone(), file.platform.address.clone());
-    let reading = readers::Settings::new(run.apply, run.first_start);
+    let reader_settings = readers::Settings::new(run.apply, run.first_start);
     let settings = table::Settings {
         apply: run.apply,
-        rests: run.follow,
-        gather: reading.gather,
+        start_at_rest: run.follow,
+        roster_delay: reader_settings.gather,
     };
     let metrics: Rc<Metrics> = Rc::default();
     let mirror = Mirror::start(store, settings, metrics.clone(), log.clone());
-    let dialer = Remote {
+    let dialer = LineDialer {
         from: file.ip,
         wait: run.connect_wait,
     };
-    let (cloud, orders) = (file.cloud_api.address.clone(), client.clone());
+    let (cloud_api, control_client) = (file.cloud_api.address.clone(), client.clone());
     let controls = move |pool: &Rc<_>| -> Rc<dyn crate::borders::member::Members> {
         Rc::new(Controls {
             pool: Rc::clone(pool),
-            client: orders,
-            cloud,
+            client: control_client,
+            cloud_api,
         })
     };
     let ports = Ports::new(
         client,
-        Rc::new(Lines),
+        Rc::new(LineEntry),
         Rc::new(dialer),
         controls,
         mirror.clone(),
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The decisions' settings on the users' platform.
+//! Settings of the group decisions on the users' platform.
 
 use std::time::Duration;
 
@@ -6,52 +6,49 @@
 use crate::decisions::group::Settings;
 use crate::decisions::replace::{Corroboration, Settings as Replace};
 
-/// Time after its word from which nothing may reach a leaving member, where the platform
-/// states no other.
-pub const DRAIN: Duration = Duration::from_secs(7);
-/// Part of it that is not used: for a word that is noticed late (news rests for 0.4 s), a
-/// connection (0.4 s) and the steps that prepare it, behind a full queue.
+/// Default time after a member's leave notice from which no request may reach the member.
+pub const DEFAULT_DRAIN: Duration = Duration::from_secs(7);
+/// Part of the drain time held back: the notice may be read late, and connecting to the member
+/// and preparing the connection behind a full queue takes time.
 const DRAIN_MARGIN: Duration = Duration::from_millis(2_500);
 
-/// The same where leaving members get another time.
-pub fn with_drain(drain: Duration) -> Settings {
+/// Returns the group settings for a platform with this drain time.
+pub fn group_settings_with_drain(drain: Duration) -> Settings {
     Settings {
         leave_most: drain.saturating_sub(DRAIN_MARGIN),
-        ..decisions()
+        ..group_settings()
     }
 }
 
-/// Settings for members that take no fence as primaries and whose statements may wait
-/// behind 24 others. Runs that decided are in docs/DESIGN.md, "On the users' platform".
-pub fn decisions() -> Settings {
+/// Returns the group settings for members that refuse fences while they are primary, and
+/// whose statements may wait in a long queue.
+pub fn group_settings() -> Settings {
     Settings {
         replace: Replace {
-            // A claim and the fences take 30 ms: the next in rank sees them in time.
+            // Long enough for the next box in rank to see the claim and the fences.
             stagger: Duration::from_millis(250),
-            // Peers answer within 10 ms; each question costs them one too.
+            // Each question also costs the peers an answer.
             again: Duration::from_millis(150),
-            // A status and a fence, each behind a full queue.
+            // Covers a status and a fence, each behind a full queue.
             ballot: Duration::from_millis(1_200),
-            // Another box's ballot, its wait for leases, and its promotion.
+            // Covers another box's ballot, its wait for leases and its promotion.
             abandoned: Duration::from_millis(3_500),
-            // The wait for leases, a ballot's time until the order, and 600 ms for it.
+            // Covers the wait for leases, a ballot up to the order, and the promotion.
             settled: Duration::from_millis(2_700),
-            // A lease, a look, and the platform's 300 to 600 ms.
+            // Covers a lease, one status poll and the promotion.
             courtesy: Duration::from_millis(1_800),
-            // First suspicion to new primary took 0.8 to 1.7 s.
             expected: Duration::from_millis(2_500),
-            // The platform takes 300 to 600 ms for it.
             promotion: Duration::from_millis(3_000),
-            // Long enough that ordinary answers renew it; 500 ms cost more looks.
+            // Long enough for ordinary answers to renew the lease without extra probes.
             lease: Duration::from_millis(800),
-            // Several ways between failure domains, 1.4 ms each.
+            // Covers several round trips between failure domains.
             catch_up: Duration::from_millis(30),
             fences_end: true,
             claims: true,
             corroboration: Corroboration::Majority,
             ..Replace::default()
         },
-        // A late answer starts the tries at once: 450 ms to a suspicion.
+        // A late answer starts the probes at once.
         detect: Detect {
             period: Duration::from_millis(800),
             interval: Duration::from_millis(150),
@@ -59,20 +56,18 @@
         },
         relaxed: 4,
         leave_grace: Duration::from_millis(100),
-        leave_most: DRAIN.saturating_sub(DRAIN_MARGIN),
+        leave_most: DEFAULT_DRAIN.saturating_sub(DRAIN_MARGIN),
         probe_gap: Duration::from_millis(20),
-        // Each order takes a slot, and a member needs some hundred ms to take over: orders
-        // at each look were 50 a second from every box.
+        // Each order takes one of the member's slots, and the member needs time to carry it out.
         follow_gap: Duration::from_millis(400),
         cut_off_retry: Duration::from_millis(300),
-        // Mean work of a statement on the users' sheets: 6 to 40 ms.
         service: Duration::from_millis(15),
-        // The primary answers sooner than a replica catches up (20 to 60 ms).
+        // The primary answers sooner than a replica catches up.
         replica_wait: Duration::ZERO,
         serve_leaving: true,
-        // Entries that lapsed are back within two seconds.
+        // Members renew a lapsed entry well within this time.
         missing_grace: Duration::from_secs(3),
-        // A statement's time: the primary's slots are for writes first.
+        // About one statement: the primary's slots are kept for writes.
         primary_cost: Some(Duration::from_millis(25)),
         patient: true,
         keep: 50,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's metadata store: rows, their changes, transactions.
+//! Client of the platform's metadata store: reads rows, waits for changes, runs transactions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,31 +12,31 @@
 use crate::borders::table::Revision;
 use crate::http::{Answer, Call, Client, HttpError};
 
-/// Time for a call that reads or writes: 4 ms each on a calm day, a few hundred when
-/// the store is slow.
-const CALL_WAIT: Duration = Duration::from_millis(1_500);
-/// Time beyond the asked one after which a wait for changes has failed.
-const FEED_MARGIN: Duration = Duration::from_secs(1);
-/// Status of a transaction whose conditions do not hold.
+/// Timeout of a read or a transaction.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time added to a long poll's own wait to get the timeout of the call.
+const LONG_POLL_MARGIN: Duration = Duration::from_secs(1);
+/// HTTP status of a transaction whose conditions do not hold.
 const CONDITION_FAILED: u16 = 412;
-/// Status of a history that is gone.
-const GONE: u16 = 410;
+/// HTTP status of a read of changes after a version whose history the store no longer keeps.
+const HISTORY_GONE: u16 = 410;
 
-/// Header of all answers: counts how often the store came back as an older copy of itself.
-const ERA: &str = "store-era";
+/// Header of every answer that holds the store's era: how often the store was replaced by an
+/// older copy of itself.
+const ERA_HEADER: &str = "store-era";
 
-/// A row as the store sends it.
+/// A row in the store's format.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Row {
-    /// Key; the name on the wire says otherwise.
-    pub tls_key: Arc<str>,
-    /// Base64; missing when the row was removed.
+    #[serde(rename = "tls_key")]
+    pub key: Arc<str>,
+    /// Base64; missing if the row was removed.
     #[serde(default)]
     value: Option<String>,
     /// Number of the transaction that wrote the row.
-    #[serde(default)]
-    schema_version: u64,
-    /// The same as a position in the table's history.
+    #[serde(rename = "schema_version", default)]
+    version: u64,
+    /// The version together with the era.
     #[serde(skip)]
     pub revision: Revision,
     #[serde(default)]
@@ -44,50 +44,51 @@
 }
 
 impl Row {
-    /// The value's bytes; none for a removed row, an error for one that is no base64.
-    pub fn bytes(&self) -> Result<Option<Vec<u8>>, StoreError> {
+    /// Decodes the value; `None` for a removed row.
+    pub fn decode_value(&self) -> Result<Option<Vec<u8>>, StoreError> {
         match &self.value {
             Some(text) if !self.deleted => BASE64
                 .decode(text)
                 .map(Some)
-                .map_err(|error| StoreError::Nonsense(format!("{}: {error}", self.tls_key))),
+                .map_err(|error| StoreError::Malformed(format!("{}: {error}", self.key))),
             _ => Ok(None),
         }
     }
 }
 
-/// Rows and the store's newest version.
+/// Rows of a table, and the store's newest version.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Rows {
     #[serde(default)]
     pub rows: Vec<Row>,
-    /// More rows follow the last key.
+    /// Whether more rows follow the last key.
     #[serde(default)]
     pub has_more: bool,
     /// Number of the newest transaction in the store.
-    schema_version: u64,
-    /// The same as a position in the table's history.
+    #[serde(rename = "schema_version")]
+    version: u64,
+    /// The version together with the era.
     #[serde(skip)]
     pub revision: Revision,
 }
 
 impl Rows {
-    /// Rows as the store sends them, in an answer of this era.
+    /// Parses the rows in the body of an answer from this era.
     pub fn parse(body: &[u8], era: u64) -> Result<Self, StoreError> {
         let mut rows: Self = decode(body)?;
-        rows.revision = Revision::new(era, rows.schema_version);
+        rows.revision = Revision::new(era, rows.version);
         for row in &mut rows.rows {
-            row.revision = Revision::new(era, row.schema_version);
+            row.revision = Revision::new(era, row.version);
         }
         Ok(rows)
     }
 
-    /// What follows on a position of another era is not what was asked for: the same number
-    /// may have been given out twice.
+    /// Checks that the answer has the era of the revision that was asked with. Versions of
+    /// different eras can't be compared, since the store may reuse them.
     fn check_era(&self, asked: Revision) -> Result<(), StoreError> {
         match self.revision.era() == asked.era() {
             true => Ok(()),
-            false => Err(StoreError::Replaced),
+            false => Err(StoreError::EraChanged),
         }
     }
 }
@@ -96,56 +97,62 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
     #[error("no answer: {0}")]
-    Down(String),
+    Unavailable(String),
+    /// The store no longer keeps the requested changes.
     #[error("the history is gone")]
     HistoryGone,
+    /// The store was replaced by an older copy of itself.
     #[error("another copy has taken the store's place meanwhile")]
-    Replaced,
+    EraChanged,
+    /// Conditions of a transaction do not hold; lists the rows concerned as they are now.
     #[error("a condition does not hold")]
-    Condition(Vec<(Arc<str>, Revision, Option<Vec<u8>>)>),
+    ConditionFailed(Vec<(Arc<str>, Revision, Option<Vec<u8>>)>),
     #[error("nonsense: {0}")]
-    Nonsense(String),
+    Malformed(String),
 }
 
 /// One change of a transaction.
 #[derive(Clone, Debug)]
 pub struct Change {
     pub key: Arc<str>,
-    /// Revision that the row must have, the default for none.
+    /// Revision that the row must have; the default if the row must not exist.
     pub expect: Option<Revision>,
-    /// None removes the row.
+    /// New value; `None` removes the row.
     pub value: Option<Vec<u8>>,
 }
 
+/// A row in a transaction: a condition, a write or a removal.
 #[derive(Serialize)]
-struct Named<'a> {
+struct TransactionRow<'a> {
     table: &'a str,
     part: &'a str,
-    tls_key: &'a str,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    schema_version: Option<u64>,
+    #[serde(rename = "tls_key")]
+    key: &'a str,
+    #[serde(rename = "schema_version", skip_serializing_if = "Option::is_none")]
+    version: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
     value: Option<String>,
 }
 
 #[derive(Serialize)]
 struct Transaction<'a> {
-    expected_revision: Vec<Named<'a>>,
-    puts: Vec<Named<'a>>,
-    remove: Vec<Named<'a>>,
+    expected_revision: Vec<TransactionRow<'a>>,
+    puts: Vec<TransactionRow<'a>>,
+    remove: Vec<TransactionRow<'a>>,
 }
 
 #[derive(Deserialize)]
 struct Committed {
-    schema_version: u64,
+    #[serde(rename = "schema_version")]
+    version: u64,
 }
 
-/// The store at one address.
+/// Client of the store at one address.
 #[derive(Clone)]
 pub struct Store {
     client: Client,
     address: Arc<str>,
-    /// The newest era that an answer has named; none before the first.
+    /// Newest era seen in an answer; `None` before the first.
     era: watch::Sender<Option<u64>>,
 }
 
@@ -158,18 +165,17 @@
         }
     }
 
-    /// The newest era that an answer has named; none before the first.
+    /// Returns a receiver of the newest era seen in an answer; `None` before the first.
     pub fn era(&self) -> watch::Receiver<Option<u64>> {
         self.era.subscribe()
     }
 
-    /// All rows of a table, and a version up to which they are known: that of the first
-    /// page. What changed while further pages were read is newer than that, so that
-    /// whoever asks for later changes is told of it.
-    pub async fn read(&self, table: &str) -> Result<Rows, StoreError> {
-        let mut all = self.page(table, None).await?;
+    /// Reads all rows of a table. The version is that of the first page, so a later read of
+    /// changes includes those made while further pages were read.
+    pub async fn read_all(&self, table: &str) -> Result<Rows, StoreError> {
+        let mut all = self.read_page(table, None).await?;
         while all.has_more {
-            let page = self.page(table, all.rows.last()).await?;
+            let page = self.read_page(table, all.rows.last()).await?;
             page.check_era(all.revision)?;
             all.has_more = page.has_more && !page.rows.is_empty();
             all.rows.extend(page.rows);
@@ -177,17 +183,17 @@
         Ok(all)
     }
 
-    /// Rows of a table behind one of them, as many as the store tells at once.
-    async fn page(&self, table: &str, last: Option<&Row>) -> Result<Rows, StoreError> {
-        let from = last.map(|row| format!("&from={}", after(&row.tls_key)));
+    /// Reads the page of rows that follows `last`, or the first page.
+    async fn read_page(&self, table: &str, last: Option<&Row>) -> Result<Rows, StoreError> {
+        let from = last.map(|row| format!("&from={}", next_key_encoded(&row.key)));
         let from = from.unwrap_or_default();
         let path = format!("/v1/rows-get?table={table}&part={from}");
-        self.rows(&path, CALL_WAIT).await
+        self.fetch_rows(&path, CALL_TIMEOUT).await
     }
 
-    /// Rows of a table that changed after a version, as soon as there is one, or
-    /// none when `wait` has passed.
-    pub async fn changes(
+    /// Long poll: returns the rows that changed after a revision as soon as there are any, or
+    /// no rows after `wait`.
+    pub async fn read_changes(
         &self,
         table: &str,
         after: Revision,
@@ -196,38 +202,38 @@
         let ms = wait.as_millis();
         let number = after.number();
         let path = format!("/v1/rows-feed?table={table}&after={number}&wait_ms={ms}");
-        let rows = self.rows(&path, wait + FEED_MARGIN).await?;
+        let rows = self.fetch_rows(&path, wait + LONG_POLL_MARGIN).await?;
         rows.check_era(after)?;
         Ok(rows)
     }
 
-    /// Carries out changes of one table, all or none. Returns their revision.
+    /// Commits changes of one table atomically. Returns their revision.
     pub async fn transact(&self, table: &str, changes: &[Change]) -> Result<Revision, StoreError> {
-        let named = |change: &Change| change.expect.is_some();
-        let expected = changes.iter().filter(|change| named(change));
-        let name = |change: &'_ Change| Named {
+        let has_condition = |change: &Change| change.expect.is_some();
+        let expected = changes.iter().filter(|change| has_condition(change));
+        let row = |change: &'_ Change| TransactionRow {
             table,
             part: "",
-            tls_key: "",
-            schema_version: change.expect.map(Revision::number),
+            key: "",
+            version: change.expect.map(Revision::number),
             value: change.value.as_ref().map(|value| BASE64.encode(value)),
         };
-        let expected_revision = expected.map(|change| Named {
-            tls_key: &change.key,
+        let expected_revision = expected.map(|change| TransactionRow {
+            key: &change.key,
             value: None,
-            ..name(change)
+            ..row(change)
         });
         let puts = changes.iter().filter(|change| change.value.is_some());
-        let puts = puts.map(|change| Named {
-            tls_key: &change.key,
-            schema_version: None,
-            ..name(change)
+        let puts = puts.map(|change| TransactionRow {
+            key: &change.key,
+            version: None,
+            ..row(change)
         });
         let remove = changes.iter().filter(|change| change.value.is_none());
-        let remove = remove.map(|change| Named {
-            tls_key: &change.key,
-            schema_version: None,
-            ..name(change)
+        let remove = remove.map(|change| TransactionRow {
+            key: &change.key,
+            version: None,
+            ..row(change)
         });
         let transaction = Transaction {
             expected_revision: expected_revision.collect(),
@@ -242,39 +248,40 @@
             bearer: None,
             headers: vec![("content-type", "application/json".to_owned())],
             body,
-            wait: CALL_WAIT,
+            wait: CALL_TIMEOUT,
         };
-        let (body, era) = self.ask(call).await?;
+        let (body, era) = self.call(call).await?;
         let committed: Committed = decode(&body)?;
-        Ok(Revision::new(era, committed.schema_version))
+        Ok(Revision::new(era, committed.version))
     }
 
-    async fn rows(&self, path: &str, wait: Duration) -> Result<Rows, StoreError> {
-        let (body, era) = self.ask(Call::get(&self.address, path, wait)).await?;
+    async fn fetch_rows(&self, path: &str, wait: Duration) -> Result<Rows, StoreError> {
+        let (body, era) = self.call(Call::get(&self.address, path, wait)).await?;
         Rows::parse(&body, era)
     }
 
-    /// The body of an answer, and the era that it is of.
-    async fn ask(&self, call: Call<'_>) -> Result<(bytes::Bytes, u64), StoreError> {
+    /// Makes a call. Returns the answer's body and era.
+    async fn call(&self, call: Call<'_>) -> Result<(bytes::Bytes, u64), StoreError> {
         let answer = self
             .client
             .ask(call)
             .await
-            .map_err(|error| failed(error, 0))?;
-        let era = self.era_of(&answer)?;
-        let body = answer.done().map_err(|error| failed(error, era))?;
+            .map_err(|error| store_error(error, 0))?;
+        let era = self.check_answer_era(&answer)?;
+        let body = answer.done().map_err(|error| store_error(error, era))?;
         Ok((body, era))
     }
 
-    /// The era that an answer, a refusal too, is of. One that names an older era than an
-    /// answer before was held up on its way, and what it says may be gone.
-    fn era_of(&self, answer: &Answer) -> Result<u64, StoreError> {
-        let named = answer.headers.get(ERA);
+    /// Returns the era of an answer, including error answers, and records it if it is newer.
+    /// Fails if an earlier answer had a newer era: the answer was delayed, and its rows may no
+    /// longer exist.
+    fn check_answer_era(&self, answer: &Answer) -> Result<u64, StoreError> {
+        let named = answer.headers.get(ERA_HEADER);
         let named: Option<u64> = named.and_then(|value| value.to_str().ok()?.parse().ok());
         let known = *self.era.borrow();
         let era = named.or(known).unwrap_or_default();
         if Some(era) < known {
-            return Err(StoreError::Replaced);
+            return Err(StoreError::EraChanged);
         }
         self.era.send_if_modified(|known| {
             let newer = named > *known;
@@ -284,32 +291,36 @@
         Ok(era)
     }
 
-    /// Whether a position is of the newest era that is known.
+    /// Whether a revision belongs to the newest known era.
     pub fn is_current(&self, revision: Revision) -> bool {
         revision.era() == self.era.borrow().unwrap_or_default()
     }
 
-    /// Returns when a position is not of the newest era that is known.
-    pub async fn replaced(&self, known: Revision) {
+    /// Waits until a revision no longer belongs to the newest known era.
+    pub async fn era_changed(&self, known: Revision) {
         let mut era = self.era.subscribe();
         let replaced = era.wait_for(|era| era.unwrap_or_default() != known.era());
-        replaced.await.expect("the sender lives as long as this");
+        replaced
+            .await
+            .expect("the sender is dropped with the store");
     }
 }
 
-fn failed(error: HttpError, era: u64) -> StoreError {
+fn store_error(error: HttpError, era: u64) -> StoreError {
     match error {
-        HttpError::Status { code: GONE, .. } => StoreError::HistoryGone,
+        HttpError::Status {
+            code: HISTORY_GONE, ..
+        } => StoreError::HistoryGone,
         HttpError::Status {
             code: CONDITION_FAILED,
             body,
-        } => conflicts(&body, era),
-        other => StoreError::Down(other.to_string()),
+        } => condition_failed(&body, era),
+        other => StoreError::Unavailable(other.to_string()),
     }
 }
 
-/// The rows that did not meet their condition, as they are.
-fn conflicts(body: &str, era: u64) -> StoreError {
+/// Parses the current state of the rows whose conditions do not hold.
+fn condition_failed(body: &str, era: u64) -> StoreError {
     #[derive(Deserialize)]
     struct Found {
         #[serde(default)]
@@ -317,26 +328,22 @@
     }
     let found: Found = match serde_json::from_str(body) {
         Ok(found) => found,
-        Err(error) => return StoreError::Nonsense(error.to_string()),
+        Err(error) => return StoreError::Malformed(error.to_string()),
     };
     let row = |row: &Row| {
-        let value = row.bytes()?;
-        Ok((
-            row.tls_key.clone(),
-            Revision::new(era, row.schema_version),
-            value,
-        ))
+        let value = row.decode_value()?;
+        Ok((row.key.clone(), Revision::new(era, row.version), value))
     };
     let rows: Result<_, StoreError> = found.rows.iter().map(row).collect();
-    rows.map_or_else(|error| error, StoreError::Condition)
+    rows.map_or_else(|error| error, StoreError::ConditionFailed)
 }
 
 fn decode<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
-    serde_json::from_slice(body).map_err(|error| StoreError::Nonsense(error.to_string()))
+    serde_json::from_slice(body).map_err(|error| StoreError::Malformed(error.to_string()))
 }
 
-/// The least key behind `key`, as part of a query.
-fn after(key: &str) -> String {
+/// Returns the smallest key greater than `key`, percent-encoded for a query.
+fn next_key_encoded(key: &str) -> String {
     let bytes = key.bytes().chain([0]);
     bytes.map(|byte| format!("%{byte:02X}")).collect()
 }
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -1,9 +1,11 @@
-//! The store as the product's table: the operator's manifest, the members' entries
-//! and larkfall's own rows, each kept up by a wait for changes.
+//! The platform's store as the project's [`Table`] and [`Roster`].
+//!
+//! A box follows three tables of the store, each with long polls: the operator's manifest,
+//! the members' entries, and the rows that boxes write.
 
 pub mod cache;
-mod gap;
-pub mod source;
+pub mod feed;
+mod watch_gap;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,74 +24,71 @@
 use crate::borders::table::{Commit, Pace, Revision, Scan, Table, TableError, Verdict, Write};
 use crate::events;
 use crate::metrics::Metrics;
-use cache::{BOXES, Cache, Written};
-use gap::Gap;
-use source::Source;
-
-/// Pause before a source is asked again after the first error, at most: often only the
-/// connection is gone, and a change may have been missed meanwhile. It is drawn anew each
-/// time, so that boxes do not ask in step after an outage, and doubles with each error.
-pub const FIRST_AGAIN: Duration = Duration::from_millis(200);
-/// The most that it becomes. A store that is back has to be noticed well before a box
-/// counts as in touch again, four seconds later at least. With 0.7 s from the second error
-/// on, 7,177 of 14,114 tries of 195 boxes fell into the moments in which a third of them was
-/// cut off, or the store was down.
-const MOST_AGAIN: Duration = Duration::from_millis(2_000);
-/// Pause of the other sources while the operator's gives no answer either: one question a
-/// box tells whether the store is back. Each still asks by itself, since a single table may
-/// be the one that answers.
-const HELD_AGAIN: Duration = Duration::from_millis(3_000);
-/// Errors after which the pause grows no more.
-const MOST_DOUBLED: u32 = 8;
-/// Time between questions to peers while the store gives no answer.
-const DOWN_POLL: Duration = Duration::from_millis(500);
-
-/// The store as a table and a list of boxes.
+use cache::{Cache, LISTING_PREFIX, Written};
+use feed::Feed;
+use watch_gap::Gap;
+
+/// Backoff after the first error; doubles with each further error. Short, since often only the
+/// connection is lost and changes may be missed meanwhile. Delays are jittered, so that boxes
+/// don't retry in step after an outage.
+pub const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Longest backoff. A store that is back must be noticed well before a box counts as connected
+/// again, which takes at least four seconds.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(2_000);
+/// Backoff of the other feeds while the operator's feed fails too: one probe per box is enough to
+/// notice that the store is back. They still retry by themselves, since single tables may fail.
+const OUTAGE_RETRY_DELAY: Duration = Duration::from_millis(3_000);
+/// Errors after which the backoff grows no more.
+const MAX_DOUBLINGS: u32 = 8;
+/// Interval at which the table reports possible news during an outage, so that peers are asked.
+const OUTAGE_POLL_INTERVAL: Duration = Duration::from_millis(500);
+
+/// Cached view of the store that follows its changes.
 pub struct Mirror {
     store: Store,
     log: Logger,
     cache: RefCell<Cache>,
     changed: Notify,
-    /// Sources whose last call gave an answer.
-    up: RefCell<BTreeSet<Source>>,
-    /// Sources that were read at least once.
-    read: Cell<usize>,
-    /// The list of boxes was read.
-    listed: Cell<bool>,
+    /// Feeds whose last call was answered.
+    answering: RefCell<BTreeSet<Feed>>,
+    /// Number of full reads of any feed.
+    feeds_read: Cell<usize>,
+    /// Whether the list of boxes was read.
+    roster_read: Cell<bool>,
     pace: watch::Sender<Pace>,
-    /// When the operator's rows were last answered for.
-    heard: Cell<Option<Instant>>,
+    /// When the operator's feed last answered.
+    operator_answered: Cell<Option<Instant>>,
     settings: Settings,
     metrics: Rc<Metrics>,
-    /// Counts the sources' returns.
-    returns: watch::Sender<u64>,
+    /// Counts how often a feed answered again after an error.
+    recoveries: watch::Sender<u64>,
 }
 
-/// What a mirror's reading follows from.
+/// Settings of a [`Mirror`].
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Time in which an accepted change has to be in force.
+    /// Time within which an accepted change must be in force.
     pub apply: Duration,
-    /// Nothing but the list of boxes is read until [`Table::set_pace`] says so.
-    pub rests: bool,
-    /// Time before the list of boxes is read.
-    pub gather: Duration,
+    /// Whether only the list of boxes is read until [`Table::set_pace`] changes the pace.
+    pub start_at_rest: bool,
+    /// Delay before the list of boxes is first read.
+    pub roster_delay: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             apply: Duration::from_secs(3),
-            rests: false,
-            gather: Duration::ZERO,
+            start_at_rest: false,
+            roster_delay: Duration::ZERO,
         }
     }
 }
 
 impl Mirror {
-    /// Starts to keep up with the store.
+    /// Starts to follow the store.
     pub fn start(store: Store, settings: Settings, metrics: Rc<Metrics>, log: Logger) -> Rc<Self> {
-        let pace = match settings.rests {
+        let pace = match settings.start_at_rest {
             true => Pace::Rest,
             false => Pace::default(),
         };
@@ -98,24 +97,24 @@
             cache: RefCell::new(Cache::new(log.clone())),
             log,
             changed: Notify::new(),
-            up: RefCell::default(),
-            read: Cell::new(0),
-            listed: Cell::new(false),
+            answering: RefCell::default(),
+            feeds_read: Cell::new(0),
+            roster_read: Cell::new(false),
             pace: watch::channel(pace).0,
-            heard: Cell::new(None),
+            operator_answered: Cell::new(None),
             settings,
             metrics,
-            returns: watch::channel(0).0,
+            recoveries: watch::channel(0).0,
         });
-        for source in Source::ALL {
-            tokio::task::spawn_local(mirror.clone().keep_up(source));
+        for feed in Feed::ALL {
+            tokio::task::spawn_local(mirror.clone().follow(feed));
         }
-        tokio::task::spawn_local(mirror.clone().note_eras());
+        tokio::task::spawn_local(mirror.clone().log_era_changes());
         mirror
     }
 
-    /// Notes when the store comes back as an older copy of itself.
-    async fn note_eras(self: Rc<Self>) {
+    /// Logs and counts each replacement of the store by an older copy of itself.
+    async fn log_era_changes(self: Rc<Self>) {
         let mut era = self.store.era();
         let mut before = None;
         while era.changed().await.is_ok() {
@@ -129,109 +128,111 @@
         }
     }
 
-    async fn keep_up(self: Rc<Self>, source: Source) {
+    /// Follows one feed: reads it in full once, then polls for changes.
+    async fn follow(self: Rc<Self>, feed: Feed) {
         let mut after: Option<Revision> = None;
         let mut gap = Gap::default();
         let mut errors = 0;
         let mut first = true;
         loop {
             let before = Instant::now();
-            let rested = self.rest_before(source, std::mem::take(&mut first)).await;
+            let rested = self.wait_until_due(feed, std::mem::take(&mut first)).await;
             if rested {
                 gap.open(before);
             }
-            // The store has come back as an older copy: it counts anew from there, and what it
-            // holds has to be read whole, as if nothing had been.
+            // After the store was replaced by an older copy, revisions of the old era are
+            // meaningless and the table has to be read in full.
             if after
                 .take_if(|known| !self.store.is_current(*known))
                 .is_some()
             {
-                gap.turn();
+                gap.start_era();
             }
-            // After an error the first answer tells that the store is back, and after a rest
-            // what was missed: it must not wait for a change.
-            let wait = match self.up.borrow().contains(&source) && !rested {
-                true => source.wait(self.pace(), self.settings.apply),
+            // After an error the answer shows that the store is back, after a rest what was
+            // missed: neither may wait for a change.
+            let wait = match self.answering.borrow().contains(&feed) && !rested {
+                true => feed.long_poll_wait(self.pace(), self.settings.apply),
                 false => Duration::ZERO,
             };
             let asked = Instant::now();
-            let cause = cause(after, errors, rested);
-            self.metrics.called_store(source.table(), cause);
+            let cause = call_cause(after, errors, rested);
+            self.metrics.called_store(feed.table(), cause);
             let read = match after {
-                None => self.store.read(source.table()).await,
+                None => self.store.read_all(feed.table()).await,
                 Some(after) => {
-                    let changes = self.store.changes(source.table(), after, wait);
+                    let changes = self.store.read_changes(feed.table(), after, wait);
                     tokio::select! {
                         changes = changes => changes,
-                        () = self.hurried(wait, source) => continue,
-                        // Nobody may ever answer a wait that the old copy was asked for.
-                        () = self.store.replaced(after) => Err(StoreError::Replaced),
+                        () = self.wait_for_shorter_poll(wait, feed) => continue,
+                        // The replaced store may never answer this poll.
+                        () = self.store.era_changed(after) => Err(StoreError::EraChanged),
                     }
                 }
             };
             match read {
                 Ok(rows) => {
                     errors = 0;
-                    self.note(source, None);
-                    self.note_read(source, after.is_none());
+                    self.record_health(feed, None);
+                    self.record_read(feed, after.is_none());
                     let news = !rows.rows.is_empty() && after.is_some();
                     let revision = rows.revision;
-                    self.take(source, rows, after.is_none(), gap.close());
+                    self.apply_rows(feed, rows, after.is_none(), gap.close());
                     after = Some(revision.max(after.unwrap_or_default()));
                     if news {
-                        tokio::time::sleep(source.rest()).await;
+                        tokio::time::sleep(feed.batch_delay()).await;
                     }
                 }
-                Err(StoreError::HistoryGone | StoreError::Replaced) => {
-                    gap.missed(asked, wait);
-                    // A position of an older copy is given up above.
+                Err(StoreError::HistoryGone | StoreError::EraChanged) => {
+                    gap.open_unanswered(asked, wait);
+                    // A revision of an older era is dropped at the start of the loop.
                     after = after.filter(|known| !self.store.is_current(*known));
-                    tokio::time::sleep(jittered(FIRST_AGAIN)).await;
+                    tokio::time::sleep(jittered(FIRST_RETRY_DELAY)).await;
                 }
                 Err(error) => {
-                    gap.missed(asked, wait);
-                    self.note(source, Some(&error));
-                    self.pause(source, errors).await;
+                    gap.open_unanswered(asked, wait);
+                    self.record_health(feed, Some(&error));
+                    self.back_off(feed, errors).await;
                     errors += 1;
                 }
             }
         }
     }
 
-    /// Waits until a source is to be asked. Whether others told what is new meanwhile.
-    async fn rest_before(&self, source: Source, first: bool) -> bool {
-        if source == Source::Own && first {
-            // By the list a box knows whom to follow.
-            tokio::time::sleep(self.settings.gather).await;
+    /// Waits until a feed is to be read. Returns whether peers reported changes meanwhile.
+    async fn wait_until_due(&self, feed: Feed, first: bool) -> bool {
+        if feed == Feed::Boxes && first {
+            // Read even at rest: the list tells a box which boxes to follow.
+            tokio::time::sleep(self.settings.roster_delay).await;
             return false;
         }
-        self.rest().await
+        self.wait_while_resting().await
     }
 
-    /// Notes that a source has answered; `whole` says that it was read anew.
-    fn note_read(&self, source: Source, whole: bool) {
-        if source == Source::Operator {
-            self.heard.set(Some(Instant::now()));
+    /// Records that a feed has answered; `whole` means a full read.
+    fn record_read(&self, feed: Feed, whole: bool) {
+        if feed == Feed::Operator {
+            self.operator_answered.set(Some(Instant::now()));
         }
         if whole {
-            self.read.set(self.read.get() + 1);
-            self.listed.set(self.listed.get() || source == Source::Own);
+            self.feeds_read.set(self.feeds_read.get() + 1);
+            self.roster_read
+                .set(self.roster_read.get() || feed == Feed::Boxes);
         }
     }
 
-    /// Waits before a source is asked again, after so many errors before the last one.
-    async fn pause(&self, source: Source, errors: u32) {
-        let doubled = FIRST_AGAIN * 2_u32.saturating_pow(errors.min(MOST_DOUBLED));
-        let own = jittered(doubled.min(MOST_AGAIN));
-        let down = !self.up.borrow().contains(&Source::Operator);
-        if source == Source::Operator || !down || errors == 0 {
-            return tokio::time::sleep(own).await;
+    /// Waits before a feed is read again; `errors` counts the errors before the last one.
+    async fn back_off(&self, feed: Feed, errors: u32) {
+        let doubled = FIRST_RETRY_DELAY * 2_u32.saturating_pow(errors.min(MAX_DOUBLINGS));
+        let delay = jittered(doubled.min(MAX_RETRY_DELAY));
+        let down = !self.answering.borrow().contains(&Feed::Operator);
+        if feed == Feed::Operator || !down || errors == 0 {
+            return tokio::time::sleep(delay).await;
         }
-        let mut returns = self.returns.subscribe();
-        returns.mark_unchanged();
-        let back = tokio::time::timeout(jittered(HELD_AGAIN), returns.changed()).await;
+        let mut recoveries = self.recoveries.subscribe();
+        recoveries.mark_unchanged();
+        let back = tokio::time::timeout(jittered(OUTAGE_RETRY_DELAY), recoveries.changed()).await;
         if back.is_ok() {
-            tokio::time::sleep(jittered(FIRST_AGAIN)).await;
+            tokio::time::sleep(jittered(FIRST_RETRY_DELAY)).await;
         }
     }
 
@@ -239,74 +240,79 @@
         *self.pace.borrow()
     }
 
-    /// Waits while others tell what is new. Whether it had to.
-    async fn rest(&self) -> bool {
+    /// Waits while peers report changes instead of the store. Returns whether it had to wait.
+    async fn wait_while_resting(&self) -> bool {
         let rests = self.pace() == Pace::Rest;
         let mut pace = self.pace.subscribe();
         let awake = pace.wait_for(|pace| *pace != Pace::Rest).await;
-        awake.expect("the sender lives as long as this");
+        awake.expect("the sender is dropped with the mirror");
         rests
     }
 
-    /// Returns when a wait of this length has become too long.
-    async fn hurried(&self, wait: Duration, source: Source) {
+    /// Waits until the pace calls for shorter polls than `wait`.
+    async fn wait_for_shorter_poll(&self, wait: Duration, feed: Feed) {
         let mut pace = self.pace.subscribe();
         let apply = self.settings.apply;
-        let hurried = pace.wait_for(|pace| source.wait(*pace, apply) < wait).await;
-        hurried.expect("the sender lives as long as this");
+        let shorter = pace
+            .wait_for(|pace| feed.long_poll_wait(*pace, apply) < wait)
+            .await;
+        shorter.expect("the sender is dropped with the mirror");
     }
 
-    /// Notes whether a source answers.
-    fn note(&self, source: Source, error: Option<&StoreError>) {
-        let mut up = self.up.borrow_mut();
-        let known = up.contains(&source);
-        if known == error.is_none() {
+    /// Records whether a feed answers, and logs when that changes.
+    fn record_health(&self, feed: Feed, error: Option<&StoreError>) {
+        let mut answering = self.answering.borrow_mut();
+        let was_answering = answering.contains(&feed);
+        if was_answering == error.is_none() {
             return;
         }
-        let name = source.table();
+        let name = feed.table();
         match error {
             None => {
-                up.insert(source);
-                self.returns.send_modify(|count| *count += 1);
+                answering.insert(feed);
+                self.recoveries.send_modify(|count| *count += 1);
                 events::emit(&self.log, &events::SOURCE_BACK, &[("table", &name)]);
             }
             Some(error) => {
-                up.remove(&source);
+                answering.remove(&feed);
                 let fields: [(_, &dyn std::fmt::Display); 2] = [("table", &name), ("error", error)];
                 events::emit(&self.log, &events::SOURCE_DOWN, &fields);
             }
         }
-        drop(up);
+        drop(answering);
         self.changed.notify_one();
     }
 
-    /// Whether the store answers, or others answer for it.
+    /// Whether the store answers, or peers answer for it.
     fn is_up(&self) -> bool {
         if self.pace() == Pace::Rest {
             return true;
         }
-        let up = self.up.borrow();
-        up.contains(&Source::Operator) && up.contains(&Source::Members)
+        let answering = self.answering.borrow();
+        answering.contains(&Feed::Operator) && answering.contains(&Feed::Members)
     }
 
-    /// Whether a condition names a position of an older era than the newest that is known. That
-    /// a row is not there names none.
-    fn is_outdated(&self, write: &Write) -> bool {
-        let named = write.expect.filter(|expect| expect.number() > 0);
-        named.is_some_and(|expect| !self.store.is_current(expect))
+    /// Whether the write's condition has a revision of an older era than the newest known one.
+    /// The condition that a row does not exist has no era.
+    fn has_old_era(&self, write: &Write) -> bool {
+        let condition = write.expect.filter(|expect| expect.number() > 0);
+        condition.is_some_and(|expect| !self.store.is_current(expect))
     }
 
-    /// Takes rows of a source; `whole` says that there are no others.
-    fn take(&self, source: Source, rows: Rows, whole: bool, written: Written) {
-        let changed = self.cache.borrow_mut().take(source, rows, whole, written);
+    /// Applies rows of a feed; `whole` means that the feed has no other rows.
+    fn apply_rows(&self, feed: Feed, rows: Rows, whole: bool, written: Written) {
+        let changed = self
+            .cache
+            .borrow_mut()
+            .apply_rows(feed, rows, whole, written);
         if changed || whole {
             self.changed.notify_one();
         }
     }
 }
 
-/// Why a source is asked, as metrics count it.
-fn cause(after: Option<Revision>, errors: u32, rested: bool) -> &'static str {
+/// Returns why the store is called, as a metrics label.
+fn call_cause(after: Option<Revision>, errors: u32, rested: bool) -> &'static str {
     match (after, errors) {
         (None, 0) => "start",
         (_, 1..) => "retry",
@@ -315,13 +321,14 @@
     }
 }
 
-fn jittered(most: Duration) -> Duration {
-    most.mul_f64(rand::rng().random_range(0.3..1.0))
+/// Returns a random delay between 30 % and 100 % of `max`.
+fn jittered(max: Duration) -> Duration {
+    max.mul_f64(rand::rng().random_range(0.3..1.0))
 }
 
-fn down(error: StoreError) -> TableError {
+fn table_error(error: StoreError) -> TableError {
     match error {
-        StoreError::Nonsense(why) => TableError::Nonsense(why),
+        StoreError::Malformed(why) => TableError::Nonsense(why),
         other => TableError::Down(other.to_string()),
     }
 }
@@ -329,7 +336,7 @@
 #[async_trait(?Send)]
 impl Table for Mirror {
     async fn head(&self) -> Result<Revision, TableError> {
-        let all = self.pace() == Pace::Rest || self.read.get() >= Source::ALL.len();
+        let all = self.pace() == Pace::Rest || self.feeds_read.get() >= Feed::ALL.len();
         match self.is_up() && all {
             true => Ok(self.cache.borrow().head()),
             false => Err(TableError::Down("the store gives no answer".to_owned())),
@@ -337,14 +344,14 @@
     }
 
     async fn scan(&self, _: Revision) -> Result<Scan, TableError> {
-        let told = self.cache.borrow_mut().tell();
-        // Members without databases would be taken for all there is.
-        told.ok_or_else(|| TableError::Down("the manifest was not read yet".to_owned()))
+        let changes = self.cache.borrow_mut().take_changes();
+        // Members without databases would pass for the complete configuration.
+        changes.ok_or_else(|| TableError::Down("the manifest was not read yet".to_owned()))
     }
 
     async fn commit(&self, commit: &Commit) -> Result<Verdict, TableError> {
-        if let Some(write) = commit.writes.iter().find(|write| self.is_outdated(write)) {
-            return Ok(replaced(write));
+        if let Some(write) = commit.writes.iter().find(|write| self.has_old_era(write)) {
+            return Ok(era_conflict(write));
         }
         let change = |write: &Write| Change {
             key: write.key.clone(),
@@ -355,16 +362,16 @@
                 .map(|value| value.to_string().into_bytes()),
         };
         let changes: Vec<Change> = commit.writes.iter().map(change).collect();
-        self.metrics.called_store(Source::Own.table(), "record");
-        match self.store.transact(Source::Own.table(), &changes).await {
-            // Done in another era than that of the conditions, it may have held for a number
-            // that was given out twice, to another row.
-            Ok(_) if commit.writes.iter().any(|write| self.is_outdated(write)) => {
-                Ok(replaced(&commit.writes[0]))
+        self.metrics.called_store(Feed::Boxes.table(), "record");
+        match self.store.transact(Feed::Boxes.table(), &changes).await {
+            // Committed in a newer era than that of its conditions: a condition may have matched
+            // a version that the older copy assigned to another row.
+            Ok(_) if commit.writes.iter().any(|write| self.has_old_era(write)) => {
+                Ok(era_conflict(&commit.writes[0]))
             }
             Ok(revision) => Ok(Verdict::Done(revision)),
-            Err(StoreError::Condition(rows)) => Ok(conflict(&changes, rows)),
-            Err(error) => Err(down(error)),
+            Err(StoreError::ConditionFailed(rows)) => Ok(conflict(&changes, rows)),
+            Err(error) => Err(table_error(error)),
         }
     }
 
@@ -374,7 +381,7 @@
         }
         tokio::select! {
             () = self.changed.notified() => {}
-            () = tokio::time::sleep(DOWN_POLL) => {}
+            () = tokio::time::sleep(OUTAGE_POLL_INTERVAL) => {}
         }
     }
 
@@ -385,14 +392,14 @@
             changed
         });
         if changed {
-            // Whether the table gives answers may be another matter now.
+            // Whether the table answers depends on the pace.
             self.changed.notify_one();
         }
     }
 
     fn heard(&self) -> Option<Duration> {
         let reads = self.is_up() && self.pace() != Pace::Rest;
-        let heard = self.heard.get().filter(|_| reads)?;
+        let heard = self.operator_answered.get().filter(|_| reads)?;
         Some(heard.elapsed())
     }
 
@@ -401,16 +408,17 @@
     }
 }
 
-/// A change whose conditions are of an older copy.
-fn replaced(write: &Write) -> Verdict {
+/// Returns the verdict on a write whose condition has an older era.
+fn era_conflict(write: &Write) -> Verdict {
     Verdict::Conflict {
         key: write.key.clone(),
         found: Revision::NONE,
     }
 }
 
-/// A row that is not as expected; or all are as wanted, since an earlier try with
-/// the same changes took effect and its answer was lost.
+/// Returns the verdict on changes whose conditions failed: the first conflicting row, or success
+/// if all rows already have the wanted values, since an earlier attempt took effect and its
+/// answer was lost.
 fn conflict(changes: &[Change], rows: Vec<(Arc<str>, Revision, Option<Vec<u8>>)>) -> Verdict {
     let found: BTreeMap<Arc<str>, (Revision, Option<Vec<u8>>)> = rows
         .into_iter()
@@ -442,12 +450,12 @@
 #[async_trait(?Send)]
 impl Roster for Mirror {
     async fn boxes(&self, tag: &str) -> Result<Option<Tagged>, TableError> {
-        let listed = self.cache.borrow().listed();
-        Ok((tag != listed.tag).then_some(listed))
+        let roster = self.cache.borrow().roster();
+        Ok((tag != roster.tag).then_some(roster))
     }
 
     fn is_known(&self) -> bool {
-        self.listed.get()
+        self.roster_read.get()
     }
 
     fn is_kept_by_boxes(&self) -> bool {
@@ -455,28 +463,29 @@
     }
 
     fn lists(&self, listing: &Listing) -> bool {
-        self.cache.borrow().lists(listing)
+        self.cache.borrow().contains_listing(listing)
     }
 
     async fn enter(&self, listing: &Listing) -> Result<(), TableError> {
-        let value = serde_json::to_vec(listing).expect("a listing is plain data");
-        self.list(&listing.name, Some(value)).await
+        let value = serde_json::to_vec(listing).expect("a listing can be serialized");
+        self.write_listing(&listing.name, Some(value)).await
     }
 
     async fn leave(&self, name: &str) -> Result<(), TableError> {
-        self.list(name, None).await
+        self.write_listing(name, None).await
     }
 }
 
 impl Mirror {
-    async fn list(&self, name: &str, value: Option<Vec<u8>>) -> Result<(), TableError> {
+    /// Writes or removes a box's entry in the list of boxes.
+    async fn write_listing(&self, name: &str, value: Option<Vec<u8>>) -> Result<(), TableError> {
         let change = Change {
-            key: format!("{BOXES}{name}").into(),
+            key: format!("{LISTING_PREFIX}{name}").into(),
             expect: None,
             value,
         };
-        self.metrics.called_store(Source::Own.table(), "listing");
-        let done = self.store.transact(Source::Own.table(), &[change]).await;
-        done.map(|_| ()).map_err(down)
+        self.metrics.called_store(Feed::Boxes.table(), "listing");
+        let done = self.store.transact(Feed::Boxes.table(), &[change]).await;
+        done.map(|_| ()).map_err(table_error)
     }
 }
--- a/src/platform/table/cache.rs
+++ b/src/platform/table/cache.rs
@@ -1,4 +1,4 @@
-//! What is known of the store, as it stands there and in the product's words.
+//! Cache of the followed tables: the rows as stored, and the project's rows derived from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,95 +7,98 @@
 use slog::Logger;
 use tokio::time::Instant;
 
-use super::source::Source;
+use super::feed::Feed;
 use crate::borders::roster::{Listing, Tagged};
 use crate::borders::table::{RESOURCE, Revision, Row, Scan, Section};
 use crate::events;
 use crate::platform::manifest::{Declarations, Manifest};
-use crate::platform::members;
-use crate::platform::store::{Row as Raw, Rows};
+use crate::platform::member_entry;
+use crate::platform::store::{Row as StoredRow, Rows};
 
-/// Prefix of our own rows that list the boxes.
-pub const BOXES: &str = "box/";
-/// Key of the manifest.
-const MANIFEST: &str = "config";
+/// Key prefix of the rows that list the boxes.
+pub const LISTING_PREFIX: &str = "box/";
+/// Key of the operator's manifest.
+const MANIFEST_KEY: &str = "config";
 
-/// When news was written, at the earliest.
+/// Earliest time at which changes may have been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Written {
-    /// Nobody can tell: it stood there when the table was first read.
-    Ever,
+    /// Unknown, since the table was read for the first time.
+    Unknown,
     After(Instant),
 }
 
-/// All rows that were read, and those that are still to be told.
+/// All rows that were read, and the changes that were not yet taken from the cache.
 pub struct Cache {
     log: Logger,
-    /// Raw values by source and key, with the revision that wrote them.
-    raw: BTreeMap<(Source, Arc<str>), (Revision, Vec<u8>)>,
-    /// The same in the product's words.
+    /// Stored values by feed and key, with the revision that wrote them.
+    stored: BTreeMap<(Feed, Arc<str>), (Revision, Vec<u8>)>,
+    /// Rows derived from the stored ones.
     rows: BTreeMap<Arc<str>, Row>,
-    /// Row of the product that each member's entry declares, by its id.
-    entries: BTreeMap<Arc<str>, Arc<str>>,
-    /// Version of the newest manifest that was taken; none before the first.
-    manifest: Option<u64>,
-    /// Rows that can't be read, as they were logged: one that stays so is logged once.
-    unreadable: BTreeSet<(Source, Arc<str>)>,
-    /// Keys of product rows that changed since they were last told.
-    fresh: BTreeSet<Arc<str>>,
-    /// When the members' news among them was written.
-    written: Option<Written>,
-    /// Sections to be told whole the next time.
+    /// Key of the row that each member's entry declares, by the member's id.
+    member_rows: BTreeMap<Arc<str>, Arc<str>>,
+    /// Version of the newest manifest; `None` before the first.
+    manifest_version: Option<u64>,
+    /// Unreadable rows that were logged. A row that stays unreadable is logged once.
+    unreadable: BTreeSet<(Feed, Arc<str>)>,
+    /// Keys of derived rows that changed since [`Cache::take_changes`].
+    changed: BTreeSet<Arc<str>>,
+    /// Earliest write of the members' rows among them.
+    members_written: Option<Written>,
+    /// Sections that the next [`Cache::take_changes`] returns in full.
     whole: BTreeSet<Section>,
-    /// Revisions up to which sections are known.
-    read: BTreeMap<Section, Revision>,
+    /// Revision up to which each section is known.
+    known_until: BTreeMap<Section, Revision>,
     boxes: BTreeMap<Arc<str>, Listing>,
-    /// Revision as of which the list of boxes is known.
-    roster: Revision,
+    /// Revision of the list of boxes.
+    roster_revision: Revision,
 }
 
 impl Cache {
     pub fn new(log: Logger) -> Self {
         Self {
             log,
-            raw: BTreeMap::new(),
+            stored: BTreeMap::new(),
             rows: BTreeMap::new(),
-            entries: BTreeMap::new(),
-            manifest: None,
+            member_rows: BTreeMap::new(),
+            manifest_version: None,
             unreadable: BTreeSet::new(),
-            fresh: BTreeSet::new(),
-            written: None,
+            changed: BTreeSet::new(),
+            members_written: None,
             whole: BTreeSet::new(),
-            read: BTreeMap::new(),
+            known_until: BTreeMap::new(),
             boxes: BTreeMap::new(),
-            roster: Revision::NONE,
+            roster_revision: Revision::NONE,
         }
     }
 
-    /// The newest revision that is known of any section.
+    /// Returns the newest known revision of any section.
     pub fn head(&self) -> Revision {
-        self.read.values().copied().max().unwrap_or_default()
+        self.known_until.values().copied().max().unwrap_or_default()
     }
 
-    /// What was not told yet; none before the manifest is known.
-    pub fn tell(&mut self) -> Option<Scan> {
-        self.manifest?;
+    /// Takes the changes since the last call. Returns `None` before the manifest is known.
+    pub fn take_changes(&mut self) -> Option<Scan> {
+        self.manifest_version?;
         let whole = std::mem::take(&mut self.whole);
-        let mut told = std::mem::take(&mut self.fresh);
+        let mut changed_keys = std::mem::take(&mut self.changed);
         if !whole.is_empty() {
             let keys = self.rows.keys();
-            told.extend(
+            changed_keys.extend(
                 keys.filter(|key| whole.contains(&Section::of(key)))
                     .cloned(),
             );
         }
-        let rows = told.iter().filter_map(|key| self.rows.get(key));
+        let rows = changed_keys.iter().filter_map(|key| self.rows.get(key));
         Some(Scan {
             head: self.head(),
             rows: rows.cloned().collect(),
-            whole: whole.into_iter().map(|s| (s, self.known_at(s))).collect(),
-            lag_ms: match self.written.take() {
-                Some(Written::Ever) => None,
+            whole: whole
+                .into_iter()
+                .map(|s| (s, self.section_revision(s)))
+                .collect(),
+            lag_ms: match self.members_written.take() {
+                Some(Written::Unknown) => None,
                 Some(Written::After(moment)) => Some(moment.elapsed().as_millis() as u64),
                 None => Some(0),
             },
@@ -103,219 +106,230 @@
         })
     }
 
-    /// As of when a section is known.
-    fn known_at(&self, section: Section) -> Revision {
+    /// Returns the revision up to which a section is known.
+    fn section_revision(&self, section: Section) -> Revision {
         match section {
-            Section::Declarations => Revision::counted(self.manifest.unwrap_or_default()),
-            Section::Members | Section::Records => self.read[&section],
+            Section::Declarations => Revision::counted(self.manifest_version.unwrap_or_default()),
+            Section::Members | Section::Records => self.known_until[&section],
         }
     }
 
-    /// The list of boxes.
-    pub fn listed(&self) -> Tagged {
+    /// Returns the list of boxes.
+    pub fn roster(&self) -> Tagged {
         Tagged {
-            tag: self.roster.to_string(),
-            revision: self.roster,
+            tag: self.roster_revision.to_string(),
+            revision: self.roster_revision,
             boxes: self.boxes.values().cloned().collect(),
         }
     }
 
-    /// Whether a box stands in the list just so.
-    pub fn lists(&self, listing: &Listing) -> bool {
+    /// Whether the list contains exactly this entry.
+    pub fn contains_listing(&self, listing: &Listing) -> bool {
         self.boxes.get(&listing.name) == Some(listing)
     }
 
-    /// Takes rows of a source; `whole` says that there are no others. Whether any is news.
-    pub fn take(&mut self, source: Source, rows: Rows, whole: bool, written: Written) -> bool {
+    /// Applies rows of a feed; `whole` means that the feed has no other rows. Returns whether
+    /// anything changed.
+    pub fn apply_rows(&mut self, feed: Feed, rows: Rows, whole: bool, written: Written) -> bool {
         let revision = rows.revision;
-        let listed: BTreeSet<Arc<str>> = rows.rows.iter().map(|r| r.tls_key.clone()).collect();
+        let listed: BTreeSet<Arc<str>> = rows.rows.iter().map(|r| r.key.clone()).collect();
         let mut changed = false;
         for row in rows.rows {
-            changed |= self.take_row(source, row);
+            changed |= self.apply_row(feed, row);
         }
         if whole {
-            changed |= self.keep_only(source, &listed, revision);
+            changed |= self.remove_unlisted(feed, &listed, revision);
         }
-        if changed && source == Source::Members {
-            self.written = Some(self.written.map_or(written, |known| known.min(written)));
+        if changed && feed == Feed::Members {
+            self.members_written = Some(
+                self.members_written
+                    .map_or(written, |known| known.min(written)),
+            );
         }
-        let read = self.read.entry(source.section()).or_default();
+        let read = self.known_until.entry(feed.section()).or_default();
         *read = revision.max(*read);
         changed
     }
 
-    /// Drops what a reading of all rows lacks. Whether there was any.
-    fn keep_only(
+    /// Removes rows that a full read no longer lists. Returns whether there were any.
+    fn remove_unlisted(
         &mut self,
-        source: Source,
+        feed: Feed,
         listed: &BTreeSet<Arc<str>>,
         revision: Revision,
     ) -> bool {
-        self.whole.insert(source.section());
-        let gone = |(s, key): &&(Source, Arc<str>)| *s == source && !listed.contains(key);
-        let gone: Vec<_> = self.raw.keys().filter(gone).cloned().collect();
+        self.whole.insert(feed.section());
+        let gone = |(s, key): &&(Feed, Arc<str>)| *s == feed && !listed.contains(key);
+        let gone: Vec<_> = self.stored.keys().filter(gone).cloned().collect();
         for (_, key) in &gone {
-            self.put(source, key, revision, None);
+            self.store_row(feed, key, revision, None);
         }
-        if source == Source::Own {
-            // A box that was removed before has no row that could say so.
-            self.roster = self.roster.max(revision);
+        if feed == Feed::Boxes {
+            // A box may have been removed, which no row of a full read shows.
+            self.roster_revision = self.roster_revision.max(revision);
         }
         !gone.is_empty()
     }
 
-    fn take_row(&mut self, source: Source, row: Raw) -> bool {
-        let known = self.raw.get(&(source, row.tls_key.clone()));
+    fn apply_row(&mut self, feed: Feed, row: StoredRow) -> bool {
+        let known = self.stored.get(&(feed, row.key.clone()));
         if known.is_some_and(|(revision, _)| *revision >= row.revision) {
             return false;
         }
-        // What is no base64 is as unreadable as an empty value, and newer than the last one.
-        let value = row.bytes().unwrap_or_else(|_| Some(Vec::new()));
-        self.put(source, &row.tls_key, row.revision, value);
+        // Invalid base64 replaces the last value, and is treated like an empty one: unreadable.
+        let value = row.decode_value().unwrap_or_else(|_| Some(Vec::new()));
+        self.store_row(feed, &row.key, row.revision, value);
         true
     }
 
-    /// Logs a row that can't be read, unless it could not be read before either: another
-    /// writer may write it again and again.
-    fn bad_row(&mut self, source: Source, key: &Arc<str>, error: &dyn std::fmt::Display) {
-        if !self.unreadable.insert((source, key.clone())) {
+    /// Logs an unreadable row, unless it was unreadable before: another writer may write it
+    /// repeatedly.
+    fn log_unreadable(&mut self, feed: Feed, key: &Arc<str>, error: &dyn std::fmt::Display) {
+        if !self.unreadable.insert((feed, key.clone())) {
             return;
         }
         let fields: [(_, &dyn std::fmt::Display); 2] = [("row", key), ("error", error)];
         events::emit(&self.log, &events::BAD_ROW, &fields);
     }
 
-    fn readable(&mut self, source: Source, key: &Arc<str>) {
-        self.unreadable.remove(&(source, key.clone()));
+    fn mark_readable(&mut self, feed: Feed, key: &Arc<str>) {
+        self.unreadable.remove(&(feed, key.clone()));
     }
 
-    /// Puts a raw row and renews what it declares.
-    fn put(&mut self, source: Source, key: &Arc<str>, revision: Revision, value: Option<Vec<u8>>) {
-        let place = (source, key.clone());
+    /// Stores a row and updates the rows derived from it. No value removes the row.
+    fn store_row(
+        &mut self,
+        feed: Feed,
+        key: &Arc<str>,
+        revision: Revision,
+        value: Option<Vec<u8>>,
+    ) {
+        let place = (feed, key.clone());
         let known = match &value {
-            Some(bytes) => self.raw.insert(place, (revision, bytes.clone())),
-            None => self.raw.remove(&place),
+            Some(bytes) => self.stored.insert(place, (revision, bytes.clone())),
+            None => self.stored.remove(&place),
         };
         if value.is_none() && known.is_none() {
-            // Others may know the row, and we can't say what it declared.
-            self.whole.insert(source.section());
+            // Other boxes may know the removed row, but what it declared is unknown here.
+            self.whole.insert(feed.section());
         }
-        match source {
-            Source::Operator => self.put_manifest(),
-            Source::Members => self.put_member(key, revision, value.as_deref()),
-            Source::Own => self.put_own(key, revision, value.as_deref()),
+        match feed {
+            Feed::Operator => self.put_manifest(),
+            Feed::Members => self.put_member(key, revision, value.as_deref()),
+            Feed::Boxes => self.put_box_row(key, revision, value.as_deref()),
         }
     }
 
     fn put_manifest(&mut self) {
-        let Some((_, bytes)) = self.raw.get(&(Source::Operator, MANIFEST.into())) else {
+        let Some((_, bytes)) = self.stored.get(&(Feed::Operator, MANIFEST_KEY.into())) else {
             return;
         };
         let manifest = match Manifest::parse(bytes) {
             Ok(manifest) => manifest,
-            // Operators' changes are checked before they are taken: this is none of theirs.
+            // The platform validates operators' changes, so this was written by another writer.
             Err(error) => {
-                // The error's text may quote a key.
+                // The error's text may quote an API key.
                 let place = format!("line {} column {}", error.line(), error.column());
-                return self.bad_row(Source::Operator, &MANIFEST.into(), &place);
+                return self.log_unreadable(Feed::Operator, &MANIFEST_KEY.into(), &place);
             }
         };
-        self.readable(Source::Operator, &MANIFEST.into());
+        self.mark_readable(Feed::Operator, &MANIFEST_KEY.into());
         let version = manifest.version;
-        if let Some(known) = self.manifest.filter(|known| version < *known) {
-            return self.note_older(version, known);
+        if let Some(known) = self.manifest_version.filter(|known| version < *known) {
+            return self.log_older_manifest(version, known);
         }
-        self.manifest = Some(version);
+        self.manifest_version = Some(version);
         self.whole.insert(Section::Declarations);
         let declared = |key: &str| Section::of(key) == Section::Declarations;
-        // Known by the operator's own count: an older copy of the store turns back the store's,
-        // and would bring back what was removed.
+        // Uses the operator's version, not the store's revision: an older copy of the store
+        // resets the latter, and would restore removed declarations.
         let revision = Revision::counted(version);
-        self.declare(declared, rows_of(manifest.declarations()), revision);
+        self.replace_declared(declared, rows_of(manifest.declarations()), revision);
     }
 
-    fn note_older(&self, version: u64, known: u64) {
+    fn log_older_manifest(&self, version: u64, known: u64) {
         let fields: [(_, &dyn std::fmt::Display); 2] = [("version", &version), ("known", &known)];
         events::emit(&self.log, &events::OLDER_DECLARATIONS, &fields);
     }
 
     fn put_member(&mut self, id: &Arc<str>, revision: Revision, value: Option<&[u8]>) {
-        let entry = value.map(|bytes| members::declaration(id, bytes));
+        let entry = value.map(|bytes| member_entry::parse_declaration(id, bytes));
         let declared = match entry.transpose() {
             Ok(declared) => {
-                self.readable(Source::Members, id);
+                self.mark_readable(Feed::Members, id);
                 rows_of(declared.into_iter().collect())
             }
             Err(error) => {
-                self.bad_row(Source::Members, id, &error);
+                self.log_unreadable(Feed::Members, id, &error);
                 BTreeMap::new()
             }
         };
-        let before = self.entries.remove(id);
+        let before = self.member_rows.remove(id);
         let after = declared.keys().next().cloned();
-        self.entries.extend(after.map(|key| (id.clone(), key)));
-        let own = |key: &str| before.as_deref() == Some(key);
-        self.declare(own, declared, revision);
+        self.member_rows.extend(after.map(|key| (id.clone(), key)));
+        let is_owned = |key: &str| before.as_deref() == Some(key);
+        self.replace_declared(is_owned, declared, revision);
     }
 
-    /// Replaces the product rows that a raw row declares.
-    fn declare(
+    /// Replaces the derived rows that a stored row declares.
+    fn replace_declared(
         &mut self,
-        own: impl Fn(&str) -> bool,
+        is_owned: impl Fn(&str) -> bool,
         declared: BTreeMap<Arc<str>, Value>,
         revision: Revision,
     ) {
-        let gone = |key: &&Arc<str>| own(key) && !declared.contains_key(*key);
+        let gone = |key: &&Arc<str>| is_owned(key) && !declared.contains_key(*key);
         let gone: Vec<Arc<str>> = self.rows.keys().filter(gone).cloned().collect();
         for key in gone {
-            self.set(key, revision, None);
+            self.put_if_changed(key, revision, None);
         }
         for (key, value) in declared {
-            self.set(key, revision, Some(value));
+            self.put_if_changed(key, revision, Some(value));
         }
     }
 
-    fn put_own(&mut self, key: &Arc<str>, revision: Revision, value: Option<&[u8]>) {
-        if let Some(name) = key.strip_prefix(BOXES) {
-            self.roster = self.roster.max(revision);
+    fn put_box_row(&mut self, key: &Arc<str>, revision: Revision, value: Option<&[u8]>) {
+        if let Some(name) = key.strip_prefix(LISTING_PREFIX) {
+            self.roster_revision = self.roster_revision.max(revision);
             self.boxes.remove(name);
             let listing = value.map(serde_json::from_slice::<Listing>).transpose();
             match listing {
                 Ok(listing) => {
-                    self.readable(Source::Own, key);
+                    self.mark_readable(Feed::Boxes, key);
                     self.boxes.extend(listing.map(|l| (Arc::from(name), l)));
                 }
-                Err(error) => self.bad_row(Source::Own, key, &error),
+                Err(error) => self.log_unreadable(Feed::Boxes, key, &error),
             }
             return;
         }
         let value = match value.map(serde_json::from_slice::<Value>).transpose() {
             Ok(value) => {
-                self.readable(Source::Own, key);
+                self.mark_readable(Feed::Boxes, key);
                 value
             }
             Err(error) => {
-                self.bad_row(Source::Own, key, &error);
+                self.log_unreadable(Feed::Boxes, key, &error);
                 Some(Value::Null)
             }
         };
-        // Unchanged or unreadable too: whoever replaces a record names the revision of its row.
+        // Also updates unchanged and unreadable records: a write that replaces a record is
+        // conditional on the row's current revision.
         self.put_row(key.clone(), revision, value);
     }
 
-    /// Sets a product row; one that stays as it is keeps its revision.
-    fn set(&mut self, key: Arc<str>, revision: Revision, value: Option<Value>) {
+    /// Sets a derived row. A row whose value does not change keeps its revision.
+    fn put_if_changed(&mut self, key: Arc<str>, revision: Revision, value: Option<Value>) {
         let known = self.rows.get(&key);
         if known.is_some_and(|row| row.value == value) {
             return;
         }
-        // Two rows of the store may declare one row of the product in turn.
+        // Two stored rows may declare the same derived row in turn: its revision must still grow.
         let revision = known.map_or(revision, |row| revision.max(row.revision.next()));
         self.put_row(key, revision, value);
     }
 
     fn put_row(&mut self, key: Arc<str>, revision: Revision, value: Option<Value>) {
-        self.fresh.insert(key.clone());
+        self.changed.insert(key.clone());
         let row = Row {
             key: key.clone(),
             revision,
--- /dev/null
+++ b/src/platform/table/feed.rs
@@ -0,0 +1,66 @@
+//! The tables of the store that a box follows, and how it polls each for changes.
+
+use std::time::Duration;
+
+use crate::borders::table::{Pace, Section};
+
+/// Long polls within the time in which a change must be in force, where other boxes rely on
+/// this one to read for them.
+const BRISK_POLLS_PER_APPLY: u32 = 3;
+
+/// A table of the store that a box follows, by who writes its rows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Feed {
+    /// The operator's manifest.
+    Operator,
+    /// The members' entries.
+    Members,
+    /// The list of boxes and the records that boxes keep.
+    Boxes,
+}
+
+impl Feed {
+    pub const ALL: [Feed; 3] = [Feed::Operator, Feed::Members, Feed::Boxes];
+
+    /// Returns the table's name in the store.
+    pub fn table(self) -> &'static str {
+        match self {
+            Feed::Operator => "op",
+            Feed::Members => "servers",
+            Feed::Boxes => "larkfall",
+        }
+    }
+
+    /// Returns the section of the rows that the table yields.
+    pub fn section(self) -> Section {
+        match self {
+            Feed::Operator => Section::Declarations,
+            Feed::Members => Section::Members,
+            Feed::Boxes => Section::Records,
+        }
+    }
+
+    /// Returns how long one long poll waits, given that a change must be in force within
+    /// `apply`. A poll that the store has lost is noticed only at its end, so urgent tables use
+    /// shorter polls. Each poll costs a call.
+    pub fn long_poll_wait(self, pace: Pace, apply: Duration) -> Duration {
+        match (self, pace) {
+            // The end of each poll shows the boxes that follow this one that the store answers.
+            (Feed::Operator, Pace::Brisk) => apply / BRISK_POLLS_PER_APPLY,
+            (Feed::Operator, _) => Duration::from_secs(8),
+            (Feed::Members, Pace::Brisk) => apply,
+            (Feed::Members, _) => Duration::from_secs(12),
+            (Feed::Boxes, _) => Duration::from_secs(25),
+        }
+    }
+
+    /// Returns the pause after a change, in which further changes accumulate. Saves calls when
+    /// all boxes or members start and each of them changes a row.
+    pub fn batch_delay(self) -> Duration {
+        match self {
+            Feed::Operator => Duration::from_millis(200),
+            Feed::Members => Duration::from_millis(400),
+            Feed::Boxes => Duration::from_secs(2),
+        }
+    }
+}
--- /dev/null
+++ b/src/platform/table/watch_gap.rs
@@ -0,0 +1,73 @@
+//! Tracks since when changes of a feed may have gone unnoticed.
+
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use super::cache::Written;
+use crate::http::SILENCE;
+
+/// Time within which rows lost with an older copy of the store are written again. Members write
+/// about every second.
+const REWRITE_TIME: Duration = Duration::from_secs(4);
+
+/// Period in which a feed was not followed.
+#[derive(Debug, Default)]
+pub struct Gap {
+    /// Whether the feed was read before.
+    was_read: bool,
+    since: Option<Instant>,
+    /// Set after the store was replaced by an older copy: rows lost with the replaced one are
+    /// written again.
+    rewriting: Option<Rewriting>,
+}
+
+/// Rewriting of the rows that an older copy of the store lacks.
+#[derive(Clone, Copy, Debug)]
+struct Rewriting {
+    /// Earliest time at which the lost rows were first written.
+    since: Instant,
+    /// Time by which all of them are written again.
+    until: Instant,
+}
+
+impl Gap {
+    /// Notes that changes may have gone unnoticed since this time.
+    pub fn open(&mut self, since: Instant) {
+        self.since = Some(self.since.map_or(since, |known| known.min(since)));
+    }
+
+    /// Notes that a call brought no answer; `asked` is when it was made, `wait` how long the
+    /// store may hold the answer back.
+    ///
+    /// Within the wait, a lost connection may have been silent for up to [`SILENCE`]. Past the
+    /// wait, the store may have held changes back since the call.
+    pub fn open_unanswered(&mut self, asked: Instant, wait: Duration) {
+        let overdue = asked.elapsed() > wait;
+        let silence_start = Instant::now().checked_sub(SILENCE);
+        self.open(silence_start.filter(|_| !overdue).unwrap_or(asked));
+    }
+
+    /// Notes that the store was replaced by an older copy. Rows written since the feed was last
+    /// followed may be written again, so a row may be older than its arrival suggests.
+    pub fn start_era(&mut self) {
+        let now = Instant::now();
+        let since = self.since.unwrap_or(now);
+        let until = now + REWRITE_TIME;
+        self.rewriting = Some(Rewriting { since, until });
+    }
+
+    /// Notes an answer. Returns the earliest time at which its changes may have been written.
+    pub fn close(&mut self) -> Written {
+        let now = Instant::now();
+        self.rewriting = self.rewriting.filter(|rewriting| now < rewriting.until);
+        let missed = self.since.take().unwrap_or(now);
+        let since = self
+            .rewriting
+            .map_or(missed, |rewriting| rewriting.since.min(missed));
+        match std::mem::replace(&mut self.was_read, true) {
+            true => Written::After(since),
+            false => Written::Unknown,
+        }
+    }
+}
--- a/src/platform/upstream.rs
+++ b/src/platform/upstream.rs
@@ -1,4 +1,4 @@
-//! A connection to a member that speaks lines.
+//! Connections to members over the line protocol.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use tokio::net::TcpSocket;
 
 use super::line::{Channel, LineError};
-use super::words::{position, position_text, word};
+use super::protocol::{format_position, parse_position, split_word};
 use crate::borders::upstream::{
     Answer, Begin, ConnectError, Dialer, Keyed, Status, Task, Unrun, Upstream, UpstreamError,
     Verdict,
@@ -18,51 +18,52 @@
 use crate::decisions::setup::{Fitting, Step};
 use crate::declarations::resource::Member;
 
-/// Who calls, as members are told, where it is no workspace.
-const NOBODY: &str = "larkfall";
-/// Id of statements of our own.
-pub const OWN: &str = "-";
+/// Workspace name sent to members for connections that belong to no workspace.
+const NO_WORKSPACE: &str = "larkfall";
+/// Id of statements that the proxy itself sends.
+pub const INTERNAL_ID: &str = "-";
 
-/// Opens connections from one address.
-pub struct Remote {
+/// Opens connections from one local address.
+pub struct LineDialer {
     pub from: IpAddr,
-    /// Time a new connection may take.
+    /// Timeout of a new connection.
     pub wait: Duration,
 }
 
 #[async_trait(?Send)]
-impl Dialer for Remote {
+impl Dialer for LineDialer {
     async fn connect(
         &self,
         member: &Member,
         workspace: Option<&str>,
     ) -> Result<Box<dyn Upstream>, ConnectError> {
-        let opened = Connection::open(self.from, member, workspace.unwrap_or(NOBODY));
+        let opened = Connection::open(self.from, member, workspace.unwrap_or(NO_WORKSPACE));
         let opened = tokio::time::timeout(self.wait, opened).await;
         Ok(Box::new(opened.map_err(|_| ConnectError::Late)??))
     }
 }
 
-/// An open connection and what it carries from earlier statements.
+/// An open connection and the state left on it by earlier statements.
 struct Connection {
     channel: Channel,
     position: Option<Position>,
     status: Status,
     fitting: Fitting,
-    /// An answer is still out, or was cut short: never to be used again.
-    spoilt: bool,
+    /// Whether an answer is outstanding or was read only in part. Such a connection is never
+    /// reused.
+    out_of_sync: bool,
 }
 
-/// A whole answer in the protocol's words.
-struct Reply {
-    /// Lines up to the one that tells the state, with their ends.
+/// A complete answer in the protocol's format.
+struct RawReply {
+    /// Lines before the READY line, with their line endings.
     lines: String,
-    /// Code of an error.
+    /// Error code, if the answer is an error.
     error: Option<String>,
 }
 
 impl Connection {
-    async fn open(from: IpAddr, member: &Member, who: &str) -> Result<Self, ConnectError> {
+    async fn open(from: IpAddr, member: &Member, workspace: &str) -> Result<Self, ConnectError> {
         let lost = |error: &dyn std::fmt::Display| ConnectError::Lost(error.to_string());
         let stream = dial(from, &member.address.sql).await;
         let mut connection = Self {
@@ -70,17 +71,17 @@
             position: None,
             status: Status::Idle,
             fitting: Fitting::default(),
-            spoilt: false,
+            out_of_sync: false,
         };
-        let hello = format!("CONNECT {} {who} {}\r\n", member.group, member.name);
+        let hello = format!("CONNECT {} {workspace} {}\r\n", member.group, member.name);
         let sent = connection.channel.write(hello.as_bytes()).await;
         sent.map_err(|error| lost(&error))?;
         let line = connection.channel.read().await;
         let line = line.map_err(|error| lost(&error))?;
-        let (verb, rest) = word(&line);
+        let (verb, rest) = split_word(&line);
         match verb {
             "READY" => {
-                connection.ready(rest).map_err(|error| lost(&error))?;
+                connection.read_ready(rest).map_err(|error| lost(&error))?;
                 Ok(connection)
             }
             "ERROR" if rest.starts_with("WRONGNODE") => {
@@ -91,43 +92,44 @@
         }
     }
 
-    fn ready(&mut self, rest: &str) -> Result<(), UpstreamError> {
-        let (state, at) = word(rest);
+    /// Takes the transaction state and the position from the operands of a READY line.
+    fn read_ready(&mut self, rest: &str) -> Result<(), UpstreamError> {
+        let (state, at) = split_word(rest);
         self.status = match state {
             "I" => Status::Idle,
             "T" => Status::Transaction,
             "E" => Status::Failed,
             _ => return Err(UpstreamError::Nonsense(format!("state {state:?}"))),
         };
-        self.position = position(at).or(self.position);
+        self.position = parse_position(at).or(self.position);
         Ok(())
     }
 
-    async fn send(&mut self, id: &str, text: &str) -> Result<(), LineError> {
+    async fn send_statement(&mut self, id: &str, text: &str) -> Result<(), LineError> {
         let line = format!("QUERY {id} {text}\r\n");
         self.channel.write(line.as_bytes()).await
     }
 
-    /// Reads one whole answer.
-    async fn answer(&mut self) -> Result<Reply, UpstreamError> {
-        let mut reply = Reply {
+    /// Reads one complete answer.
+    async fn read_reply(&mut self) -> Result<RawReply, UpstreamError> {
+        let mut reply = RawReply {
             lines: String::new(),
             error: None,
         };
         let mut ended = false;
         loop {
             let line = self.channel.read().await?;
-            let (verb, rest) = word(&line);
+            let (verb, rest) = split_word(&line);
             match verb {
                 "READY" if ended => {
-                    self.ready(rest)?;
+                    self.read_ready(rest)?;
                     return Ok(reply);
                 }
                 "DATA" if !ended => {}
                 "COMPLETE" if !ended => ended = true,
                 "ERROR" if !ended => {
                     ended = true;
-                    reply.error = Some(word(rest).0.to_owned());
+                    reply.error = Some(split_word(rest).0.to_owned());
                 }
                 _ => return Err(UpstreamError::Nonsense(format!("answered {line:?}"))),
             }
@@ -136,8 +138,12 @@
         }
     }
 
-    /// Does one thing before a statement. An error code says that it was not done.
-    async fn prepare(&mut self, step: &Step, floor: &str) -> Result<Option<Reply>, UpstreamError> {
+    /// Runs one setup step. Returns the member's reply if the step failed.
+    async fn run_step(
+        &mut self,
+        step: &Step,
+        floor: &str,
+    ) -> Result<Option<RawReply>, UpstreamError> {
         let text = match step {
             Step::Reset => "RESET".to_owned(),
             Step::Set { name, value } => format!("SET {name} {value}"),
@@ -149,10 +155,10 @@
         };
         let id = match step {
             Step::Open(opening) => &*opening.id,
-            _ => OWN,
+            _ => INTERNAL_ID,
         };
-        self.send(id, &text).await?;
-        let reply = self.answer().await?;
+        self.send_statement(id, &text).await?;
+        let reply = self.read_reply().await?;
         if reply.error.is_some() {
             return Ok(Some(reply));
         }
@@ -160,7 +166,7 @@
         Ok(None)
     }
 
-    fn typed(&self, reply: Reply) -> Answer {
+    fn to_answer(&self, reply: RawReply) -> Answer {
         let verdict = match reply.error.as_deref() {
             None => Verdict::Done,
             Some("READONLY") => Verdict::Unrun(Unrun::NotPrimary),
@@ -177,36 +183,36 @@
         }
     }
 
-    async fn exchange(&mut self, task: &Task<'_>) -> Result<Answer, UpstreamError> {
+    async fn run_task(&mut self, task: &Task<'_>) -> Result<Answer, UpstreamError> {
         let floor = match task.floor {
             Some(floor) if floor > Position::ZERO => {
-                format!("AFTER {} ", position_text(Some(floor)))
+                format!("AFTER {} ", format_position(Some(floor)))
             }
             _ => String::new(),
         };
-        let mut begun = false;
+        let mut opened = false;
         if let Some(setup) = task.setup {
             for step in self.fitting.steps(setup) {
-                if let Some(refused) = self.prepare(&step, &floor).await? {
-                    return Ok(self.typed(refused));
+                if let Some(refused) = self.run_step(&step, &floor).await? {
+                    return Ok(self.to_answer(refused));
                 }
-                begun |= matches!(step, Step::Open(_));
+                opened |= matches!(step, Step::Open(_));
             }
         }
         let payload = std::str::from_utf8(task.payload)
             .map_err(|error| UpstreamError::Nonsense(error.to_string()))?;
-        let (id, text) = word(payload);
-        // Inside a transaction its BEGIN has named the floor.
-        let outside = self.status == Status::Idle && !begun;
+        let (id, text) = split_word(payload);
+        // Inside a transaction, BEGIN has already sent the floor.
+        let outside = self.status == Status::Idle && !opened;
         let floor = if outside { floor.as_str() } else { "" };
-        self.send(id, &format!("{floor}{text}")).await?;
-        let reply = self.answer().await?;
+        self.send_statement(id, &format!("{floor}{text}")).await?;
+        let reply = self.read_reply().await?;
         if reply.error.as_deref() == Some("NOSTMT")
             && let Some(prepared) = task.setup.and_then(|setup| setup.prepared.as_ref())
         {
             self.fitting.forget(prepared);
         }
-        Ok(self.typed(reply))
+        Ok(self.to_answer(reply))
     }
 }
 
@@ -231,10 +237,10 @@
 #[async_trait(?Send)]
 impl Upstream for Connection {
     async fn run(&mut self, task: &Task<'_>) -> Result<Answer, UpstreamError> {
-        // Stays so when the caller gives up and drops this future half-way.
-        self.spoilt = true;
-        let answer = self.exchange(task).await?;
-        self.spoilt = false;
+        // Stays set if this future is dropped before the answer is complete.
+        self.out_of_sync = true;
+        let answer = self.run_task(task).await?;
+        self.out_of_sync = false;
         Ok(answer)
     }
 
@@ -244,17 +250,17 @@
     }
 
     async fn roll_back(&mut self) -> Result<(), UpstreamError> {
-        if self.spoilt {
+        if self.out_of_sync {
             let why = "an answer is still out".to_owned();
             return Err(UpstreamError::Lost(why));
         }
         if self.status == Status::Idle {
             return Ok(());
         }
-        self.spoilt = true;
-        self.send(OWN, "ROLLBACK").await?;
-        self.answer().await?;
-        self.spoilt = false;
+        self.out_of_sync = true;
+        self.send_statement(INTERNAL_ID, "ROLLBACK").await?;
+        self.read_reply().await?;
+        self.out_of_sync = false;
         Ok(())
     }
 
@@ -263,6 +269,6 @@
     }
 
     fn is_reusable(&mut self) -> bool {
-        !self.spoilt && self.status == Status::Idle && self.channel.is_quiet()
+        !self.out_of_sync && self.status == Status::Idle && self.channel.is_quiet()
     }
 }
--- a/tests/platform/entries.rs
+++ b/tests/platform/entries.rs
@@ -5,7 +5,7 @@
 
 use googletest::prelude::*;
 use larkfall::borders::table::{Revision, Row, Table};
-use larkfall::platform::members::declaration;
+use larkfall::platform::member_entry::parse_declaration;
 use larkfall::platform::table::Mirror;
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -140,7 +140,7 @@
 proptest! {
     #[test]
     fn no_bytes_end_the_reading_of_an_entry(id in ".{0,40}", bytes: Vec<u8>) {
-        let _ = declaration(&id.into(), &bytes);
+        let _ = parse_declaration(&id.into(), &bytes);
     }
 
     /// What is read as a member's entry has all that a member needs.
@@ -150,7 +150,7 @@
         value in any_field(),
     ) {
         let bytes = serde_json::to_vec(&with(&field, Some(value))).expect("plain data");
-        if let Ok((key, fields)) = declaration(&"i-1".into(), &bytes) {
+        if let Ok((key, fields)) = parse_declaration(&"i-1".into(), &bytes) {
             prop_assert!(key.name.ends_with(".i-1"));
             prop_assert_eq!(key.name.matches('.').count(), 1);
             let address = fields["sql"].as_str().unwrap_or_default();
--- a/tests/platform/older_copy.rs
+++ b/tests/platform/older_copy.rs
@@ -166,13 +166,15 @@
     let copy = store.version();
     store.put("op", "b", &json!(1));
     let reader = reader(&store).await;
-    let read = reader.read("op").await.expect("the store answers");
+    let read = reader.read_all("op").await.expect("the store answers");
     store.restore(copy, NEVER);
     for key in ["c", "d", "e"] {
         store.put("op", key, &json!(1));
     }
-    let changes = reader.changes("op", read.revision, Duration::ZERO).await;
-    expect_that!(changes.err(), some(eq(&StoreError::Replaced)));
+    let changes = reader
+        .read_changes("op", read.revision, Duration::ZERO)
+        .await;
+    expect_that!(changes.err(), some(eq(&StoreError::EraChanged)));
     expect_that!(reader.is_current(read.revision), eq(false));
 }
 
@@ -185,10 +187,10 @@
     }
     store.page_and_restore(1, store.version());
     let reader = reader(&store).await;
-    let read = reader.read("op").await;
-    expect_that!(read.err(), some(eq(&StoreError::Replaced)));
+    let read = reader.read_all("op").await;
+    expect_that!(read.err(), some(eq(&StoreError::EraChanged)));
     expect_that!(
-        reader.read("op").await.map(|read| read.rows.len()),
+        reader.read_all("op").await.map(|read| read.rows.len()),
         ok(eq(&3))
     );
 }
@@ -200,10 +202,10 @@
     store.put("op", "a", &json!(1));
     store.name_era(5);
     let reader = reader(&store).await;
-    expect_that!(reader.read("op").await.is_ok(), eq(true));
+    expect_that!(reader.read_all("op").await.is_ok(), eq(true));
     store.name_era(4);
-    let late = reader.read("op").await;
-    expect_that!(late.err(), some(eq(&StoreError::Replaced)));
+    let late = reader.read_all("op").await;
+    expect_that!(late.err(), some(eq(&StoreError::EraChanged)));
 }
 
 /// A wait that the old copy was asked for may never be answered, and nobody would notice for as
--- a/tests/platform/reading.rs
+++ b/tests/platform/reading.rs
@@ -67,11 +67,11 @@
     }
     store.page(1, ("servers", "a", &json!(2)));
     let reader = reader(&store).await;
-    let read = reader.read("servers").await.unwrap();
+    let read = reader.read_all("servers").await.unwrap();
     expect_that!(read.rows.len(), eq(3));
-    let later = reader.changes("servers", read.revision, Duration::ZERO);
+    let later = reader.read_changes("servers", read.revision, Duration::ZERO);
     let told = later.await.unwrap().rows.into_iter();
-    let told: Vec<Arc<str>> = told.map(|row| row.tls_key).collect();
+    let told: Vec<Arc<str>> = told.map(|row| row.key).collect();
     expect_that!(told, contains(eq(&Arc::<str>::from("a"))));
 }
 
--- a/tests/platform/reload.rs
+++ b/tests/platform/reload.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use larkfall::platform::file::File;
+use larkfall::platform::node_file::File;
 use nix::sys::signal::Signal;
 
 use super::boxes::{Place, Process};
--- a/tests/unit/copies.rs
+++ b/tests/unit/copies.rs
@@ -17,7 +17,7 @@
 use larkfall::node::news::Question;
 use larkfall::platform::store::Rows;
 use larkfall::platform::table::cache::{Cache, Written};
-use larkfall::platform::table::source::Source;
+use larkfall::platform::table::feed::Feed;
 use proptest::prelude::*;
 use proptest::sample::Index;
 use serde_json::{Value, json};
@@ -143,7 +143,7 @@
 struct Reader {
     name: Arc<str>,
     cache: Cache,
-    after: BTreeMap<Source, Revision>,
+    after: BTreeMap<Feed, Revision>,
     store: Store,
     departures: Departures,
     snapshot: Snapshot,
@@ -169,15 +169,15 @@
         }
     }
 
-    fn read(&mut self, tables: &Tables, source: Source, now: Duration) {
+    fn read(&mut self, tables: &Tables, source: Feed, now: Duration) {
         let after = self.after.get(&source);
         let after = after.filter(|after| after.era() == tables.era);
         let rows = tables.read(source.table(), after.map(|after| after.number()));
         let whole = after.is_none();
         self.after.insert(source, rows.revision);
         self.cache
-            .take(source, rows, whole, Written::After(Instant::now()));
-        if let Some(scan) = self.cache.tell() {
+            .apply_rows(source, rows, whole, Written::After(Instant::now()));
+        if let Some(scan) = self.cache.take_changes() {
             self.accept(&scan, now);
         }
     }
@@ -259,7 +259,7 @@
             Step::Member(member) => self.member(member.index(MEMBERS)),
             Step::Claim(at) => self.claim(at.index(count)),
             Step::Read(at, source) => {
-                let source = Source::ALL[*source];
+                let source = Feed::ALL[*source];
                 self.boxes[at.index(count)].read(&self.tables, source, now);
             }
             Step::Ask(to, from) => self.ask(to.index(count), from.index(count)),
@@ -383,7 +383,7 @@
         let ready = members.filter(|(_, state)| **state == 1);
         let ready: BTreeSet<Arc<str>> = ready.map(|(i, _)| format!("i-{i}").into()).collect();
         for at in &mut self.boxes {
-            for source in Source::ALL {
+            for source in Feed::ALL {
                 at.read(&self.tables, source, self.now);
             }
             prop_assert_eq!(at.document().0, newest);
--- a/tests/unit/departing.rs
+++ b/tests/unit/departing.rs
@@ -16,7 +16,7 @@
 use larkfall::decisions::group::{Action, Event, Group, Request, Target};
 use larkfall::decisions::position::Position;
 use larkfall::declarations::snapshot::Plan;
-use larkfall::platform::settings::{DRAIN, decisions};
+use larkfall::platform::settings::{DEFAULT_DRAIN, group_settings};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -143,7 +143,7 @@
             self.plan(by),
             "d0".into(),
             rank,
-            decisions(),
+            group_settings(),
             seed,
             self.now,
         );
@@ -415,7 +415,7 @@
         let place = self.place(by, member);
         if let Some(word) = self.members[place].word {
             self.sent += 1;
-            if self.now > word + DRAIN {
+            if self.now > word + DEFAULT_DRAIN {
                 let after = self.now - word;
                 let late = format!("box {by}, member {place}, {after:?} after its word");
                 self.late.push(late);
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -14,8 +14,8 @@
 use larkfall::decisions::position::Position;
 use larkfall::declarations::resource::{Address, Durability, Group as Declared, Member};
 use larkfall::declarations::snapshot::Plan;
-use larkfall::platform::control::report;
-use larkfall::platform::settings::decisions;
+use larkfall::platform::control::parse_status;
+use larkfall::platform::settings::group_settings;
 
 use super::fake::ms;
 
@@ -58,7 +58,7 @@
 }
 
 fn settings() -> Settings {
-    decisions()
+    group_settings()
 }
 
 pub fn status(role: Role, term: u64, promised: u64, index: u64) -> Status {
@@ -564,7 +564,7 @@
 #[gtest]
 fn entries_of_a_later_term_are_none_of_the_one_that_a_member_still_names() {
     let row = "DATA replica 1 2.136 0 0 0 8";
-    let found = report(row, Some(Position::new(2, 130))).expect("a status row");
+    let found = parse_status(row, Some(Position::new(2, 130))).expect("a status row");
     expect_that!(found.log, eq(Position::new(2, 136)));
     expect_that!(found.promised, eq(2));
     expect_that!(found.applied, eq(Position::new(2, 130)));
--- a/tests/unit/leaving.rs
+++ b/tests/unit/leaving.rs
@@ -21,8 +21,8 @@
 use larkfall::decisions::group::{Action, Event, Note};
 use larkfall::declarations::snapshot::{Plan, Snapshot};
 use larkfall::node::configuration::{Departures, Store};
-use larkfall::platform::file::File;
-use larkfall::platform::settings::decisions;
+use larkfall::platform::node_file::File;
+use larkfall::platform::settings::group_settings;
 use serde_json::json;
 use slog::Logger;
 
@@ -175,7 +175,7 @@
             bench.report(0, status(Role::Primary, 1, 1, 10));
         }
     }
-    expect_that!(bench.now, eq(word + decisions().leave_most));
+    expect_that!(bench.now, eq(word + group_settings().leave_most));
     // 2,201 before it rested between them, 6 since.
     expect_that!(ticks, le(20));
 }
@@ -349,7 +349,7 @@
     let mut bench = Bench::new(0);
     let listed = vec![member(0, false), member(2, false)];
     bench.group.set_plan(plan(listed), bench.now);
-    let gone = bench.now + decisions().missing_grace;
+    let gone = bench.now + group_settings().missing_grace;
     while bench.now < gone - ms(300) {
         bench.now += ms(100);
         bench.look();
@@ -423,7 +423,7 @@
     };
     expect_that!(fenced(&bench, 0), eq(1));
     expect_that!(fenced(&bench, 1) + fenced(&bench, 2), eq(0));
-    bench.pass(decisions().replace.catch_up);
+    bench.pass(group_settings().replace.catch_up);
     expect_that!(fenced(&bench, 1) + fenced(&bench, 2), eq(2));
 }
 
@@ -438,7 +438,7 @@
              cloud_api:\n  address: 127.0.0.1:6\n"
         );
         let file = File::parse("f", &text).expect("a good file");
-        expect_that!(file.decisions().leave_most, eq(most));
+        expect_that!(file.group_settings().leave_most, eq(most));
     }
 }
 
--- a/tests/unit/orders.rs
+++ b/tests/unit/orders.rs
@@ -11,7 +11,7 @@
 use larkfall::borders::table::Revision;
 use larkfall::decisions::duty::{Claim, Duty, taken};
 use larkfall::decisions::group::{Action, Event, Group};
-use larkfall::platform::settings::decisions;
+use larkfall::platform::settings::group_settings;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -130,7 +130,7 @@
         let group = |rank: usize| {
             let plan = plan(members.clone());
             let rank = rank as u32;
-            let mut group = Group::new(plan, "d0".into(), rank, decisions(), seed, ms(0));
+            let mut group = Group::new(plan, "d0".into(), rank, group_settings(), seed, ms(0));
             group.set_rank(rank, 1);
             group
         };
