--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -20,8 +20,8 @@
     }
 }
 
-/// Returns the group settings for members that refuse fences while they are primary, and
-/// whose statements may wait in a long queue.
+/// Returns the group settings for members that take no fence while they are primary, and whose
+/// statements may wait in a long queue.
 pub fn group_settings() -> Settings {
     Settings {
         replace: Replace {
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -83,8 +83,8 @@
         Ok(rows)
     }
 
-    /// Checks that the answer has the era of the revision that was asked with. Versions of
-    /// different eras can't be compared, since the store may reuse them.
+    /// Checks that the rows have the era of `asked`. Versions of different eras can't be
+    /// compared, since a store that was replaced by an older copy assigns them again.
     fn check_era(&self, asked: Revision) -> Result<(), StoreError> {
         match self.revision.era() == asked.era() {
             true => Ok(()),
@@ -276,16 +276,17 @@
     /// Fails if an earlier answer had a newer era: the answer was delayed, and its rows may no
     /// longer exist.
     fn check_answer_era(&self, answer: &Answer) -> Result<u64, StoreError> {
-        let named = answer.headers.get(ERA_HEADER);
-        let named: Option<u64> = named.and_then(|value| value.to_str().ok()?.parse().ok());
+        let answer_era = answer.headers.get(ERA_HEADER);
+        let answer_era: Option<u64> =
+            answer_era.and_then(|value| value.to_str().ok()?.parse().ok());
         let known = *self.era.borrow();
-        let era = named.or(known).unwrap_or_default();
+        let era = answer_era.or(known).unwrap_or_default();
         if Some(era) < known {
             return Err(StoreError::EraChanged);
         }
         self.era.send_if_modified(|known| {
-            let newer = named > *known;
-            *known = named.max(*known);
+            let newer = answer_era > *known;
+            *known = answer_era.max(*known);
             newer
         });
         Ok(era)
@@ -299,8 +300,8 @@
     /// Waits until a revision no longer belongs to the newest known era.
     pub async fn era_changed(&self, known: Revision) {
         let mut era = self.era.subscribe();
-        let replaced = era.wait_for(|era| era.unwrap_or_default() != known.era());
-        replaced
+        let era_changed = era.wait_for(|era| era.unwrap_or_default() != known.era());
+        era_changed
             .await
             .expect("the sender is dropped with the store");
     }
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -51,8 +51,8 @@
     changed: Notify,
     /// Feeds whose last call was answered.
     answering: RefCell<BTreeSet<Feed>>,
-    /// Number of full reads of any feed.
-    feeds_read: Cell<usize>,
+    /// Number of full reads, over all feeds.
+    full_reads: Cell<usize>,
     /// Whether the list of boxes was read.
     roster_read: Cell<bool>,
     pace: watch::Sender<Pace>,
@@ -98,7 +98,7 @@
             log,
             changed: Notify::new(),
             answering: RefCell::default(),
-            feeds_read: Cell::new(0),
+            full_reads: Cell::new(0),
             roster_read: Cell::new(false),
             pace: watch::channel(pace).0,
             operator_answered: Cell::new(None),
@@ -174,11 +174,11 @@
                     errors = 0;
                     self.record_health(feed, None);
                     self.record_read(feed, after.is_none());
-                    let news = !rows.rows.is_empty() && after.is_some();
+                    let has_changes = !rows.rows.is_empty() && after.is_some();
                     let revision = rows.revision;
                     self.apply_rows(feed, rows, after.is_none(), gap.close());
                     after = Some(revision.max(after.unwrap_or_default()));
-                    if news {
+                    if has_changes {
                         tokio::time::sleep(feed.batch_delay()).await;
                     }
                 }
@@ -214,7 +214,7 @@
             self.operator_answered.set(Some(Instant::now()));
         }
         if whole {
-            self.feeds_read.set(self.feeds_read.get() + 1);
+            self.full_reads.set(self.full_reads.get() + 1);
             self.roster_read
                 .set(self.roster_read.get() || feed == Feed::Boxes);
         }
@@ -336,7 +336,7 @@
 #[async_trait(?Send)]
 impl Table for Mirror {
     async fn head(&self) -> Result<Revision, TableError> {
-        let all = self.pace() == Pace::Rest || self.feeds_read.get() >= Feed::ALL.len();
+        let all = self.pace() == Pace::Rest || self.full_reads.get() >= Feed::ALL.len();
         match self.is_up() && all {
             true => Ok(self.cache.borrow().head()),
             false => Err(TableError::Down("the store gives no answer".to_owned())),
--- a/src/platform/table/feed.rs
+++ b/src/platform/table/feed.rs
@@ -4,8 +4,8 @@
 
 use crate::borders::table::{Pace, Section};
 
-/// Long polls within the time in which a change must be in force, where other boxes rely on
-/// this one to read for them.
+/// Long polls within the time in which a change must be in force, for a box that also reads for
+/// others. Each poll's end confirms their view, which must not go stale before the next one.
 const BRISK_POLLS_PER_APPLY: u32 = 3;
 
 /// A table of the store that a box follows, by who writes its rows.
--- a/src/platform/table/watch_gap.rs
+++ b/src/platform/table/watch_gap.rs
@@ -7,8 +7,8 @@
 use super::cache::Written;
 use crate::http::SILENCE;
 
-/// Time within which rows lost with an older copy of the store are written again. Members write
-/// about every second.
+/// Time within which rows that an older copy of the store lacks are written again. Members write
+/// about every second, and write a change at once.
 const REWRITE_TIME: Duration = Duration::from_secs(4);
 
 /// Period in which a feed was not followed.
