--- a/tests/unit/departing.rs
+++ b/tests/unit/departing.rs
@@ -15,7 +15,7 @@
 use larkfall::decisions::group::{Action, Event, Group, Request, Target};
 use larkfall::decisions::position::Position;
 use larkfall::declarations::snapshot::Plan;
-use larkfall::platform::settings::{DRAIN, decisions};
+use larkfall::platform::settings::{DEFAULT_DRAIN, group_settings};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -142,7 +142,7 @@
             self.plan(by),
             "d0".into(),
             rank,
-            decisions(),
+            group_settings(),
             seed,
             self.now,
         );
@@ -421,7 +421,7 @@
         let index = self.index_of(by, member);
         if let Some(announced) = self.members[index].announced_at {
             self.sent_to_leaving += 1;
-            if self.now > announced + DRAIN {
+            if self.now > announced + DEFAULT_DRAIN {
                 let after = self.now - announced;
                 let late = format!("box {by}, member {index}, {after:?} after its announcement");
                 self.sent_too_late.push(late);
--- a/tests/unit/leaving.rs
+++ b/tests/unit/leaving.rs
@@ -11,8 +11,8 @@
 use larkfall::decisions::group::{Action, Event, Note};
 use larkfall::declarations::snapshot::{Plan, Snapshot};
 use larkfall::node::configuration::{Departures, Store};
-use larkfall::platform::file::File;
-use larkfall::platform::settings::decisions;
+use larkfall::platform::node_file::File;
+use larkfall::platform::settings::group_settings;
 use serde_json::json;
 use slog::Logger;
 
@@ -169,7 +169,7 @@
             bench.report(0, status(Role::Primary, 1, 1, 10));
         }
     }
-    expect_that!(bench.now, eq(announced + decisions().drain_limit));
+    expect_that!(bench.now, eq(announced + group_settings().drain_limit));
     // The group does not tick all the time while a hand-over is due.
     expect_that!(ticks, le(20));
 }
@@ -351,7 +351,7 @@
     let mut bench = Fixture::new(0);
     let listed = vec![member(0, false), member(2, false)];
     bench.group.set_plan(plan(listed), bench.now);
-    let removal = bench.now + decisions().missing_grace;
+    let removal = bench.now + group_settings().missing_grace;
     while bench.now < removal - ms(300) {
         bench.now += ms(100);
         bench.report_all();
@@ -425,7 +425,7 @@
     };
     expect_that!(fenced(&bench, 0), eq(1));
     expect_that!(fenced(&bench, 1) + fenced(&bench, 2), eq(0));
-    bench.advance(decisions().replace.catch_up);
+    bench.advance(group_settings().replace.catch_up);
     expect_that!(fenced(&bench, 1) + fenced(&bench, 2), eq(2));
 }
 
@@ -440,7 +440,7 @@
              cloud_api:\n  address: 127.0.0.1:6\n"
         );
         let file = File::parse("f", &text).expect("a good file");
-        expect_that!(file.decisions().drain_limit, eq(most));
+        expect_that!(file.group_settings().drain_limit, eq(most));
     }
 }
 
