--- a/src/decisions/reach.rs
+++ b/src/decisions/partition.rs
@@ -34,27 +34,27 @@
 
 /// What a box's own groups show.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct View {
+pub struct Counts {
     /// Groups there are.
     pub groups: usize,
     /// Groups this box owns.
     pub owned: usize,
     /// The list of boxes, and so of owners, is not just filling.
-    pub listed: bool,
+    pub list_settled: bool,
     /// Owned groups of whose members it reaches a majority.
-    pub reached: usize,
+    pub with_majority: usize,
     /// Owned groups of whose members it reaches none; it has not found out yet about
     /// the rest.
-    pub cut_off: usize,
+    pub without_majority: usize,
 }
 
-impl View {
+impl Counts {
     /// What its own groups tell by themselves, if they tell enough.
     fn verdict(&self) -> Option<bool> {
-        if self.reached > 0 {
+        if self.with_majority > 0 {
             return Some(false);
         }
-        (self.owned == self.groups).then_some(self.owned > 0 && self.cut_off == self.owned)
+        (self.owned == self.groups).then_some(self.owned > 0 && self.without_majority == self.owned)
     }
 }
 
@@ -73,12 +73,12 @@
 
 /// Whether this box is cut off.
 #[derive(Clone, Debug, Default)]
-pub struct Reach {
+pub struct Monitor {
     /// Other failure domains in which this box watches members.
     far: BTreeMap<Arc<str>, Sight>,
     /// When neighbours were last warned that all of these are silent.
     told_of: Option<Duration>,
-    view: View,
+    view: Counts,
     /// When an exchange last failed as in a cut.
     refused: Option<Duration>,
     /// When a neighbour last said that it is cut off.
@@ -89,14 +89,14 @@
     cut_off: bool,
 }
 
-impl Reach {
-    pub fn is_cut_off(&self) -> bool {
+impl Monitor {
+    pub fn is_partitioned(&self) -> bool {
         self.cut_off
     }
 
     /// Takes what the box's own groups show.
-    pub fn see(&mut self, view: View, now: Duration) {
-        if view.cut_off > self.view.cut_off {
+    pub fn update_counts(&mut self, view: Counts, now: Duration) {
+        if view.without_majority > self.view.without_majority {
             // What others see is worth knowing at once.
             self.warned = Some(now);
         }
@@ -107,19 +107,19 @@
     }
 
     /// An owner reached no majority of its group, or no owner was reached.
-    pub fn refuse(&mut self, now: Duration) {
+    pub fn record_refusal(&mut self, now: Duration) {
         self.refused = Some(now);
     }
 
     /// A box of the same failure domain finds the others silent. Whether the neighbours are
     /// to be warned too: they have not been of late.
-    pub fn warn(&mut self, now: Duration) -> bool {
+    pub fn record_alert(&mut self, now: Duration) -> bool {
         self.warned = Some(now);
         self.tells_now(now)
     }
 
     /// A member of another failure domain answered.
-    pub fn hear(&mut self, domain: &Arc<str>, now: Duration) {
+    pub fn record_answer(&mut self, domain: &Arc<str>, now: Duration) {
         match self.far.get_mut(domain) {
             Some(sight) => sight.heard = Some(now),
             None => {
@@ -134,7 +134,7 @@
 
     /// A member of another failure domain did not answer in time. Whether all the others are
     /// silent now, so that the neighbours are to be warned.
-    pub fn miss(&mut self, domain: &Arc<str>, now: Duration) -> bool {
+    pub fn record_failure(&mut self, domain: &Arc<str>, now: Duration) -> bool {
         self.far.entry(domain.clone()).or_default().missed = Some(now);
         self.far.values().all(Sight::is_lost) && self.tells_now(now)
     }
@@ -148,7 +148,7 @@
     }
 
     /// When owners are to be asked next, if at all.
-    pub fn due(&self, now: Duration) -> Option<Duration> {
+    pub fn query_due(&self, now: Duration) -> Option<Duration> {
         if self.view.verdict().is_some() {
             return None;
         }
@@ -157,7 +157,7 @@
         // A box that starts again in a cut failure domain is to know it before callers
         // do: alone in calling itself ready, it would get all of the domain's. When all
         // boxes start for the first time, all would ask the few that the list names by then.
-        let fresh = !self.told && self.view.listed;
+        let fresh = !self.told && self.view.list_settled;
         let wanted = self.cut_off || self.view.owned > 0 || doubted || fresh;
         let pause = match self.warned > self.asked && !self.cut_off {
             true => SOON,
@@ -168,14 +168,14 @@
     }
 
     /// Owners are being asked.
-    pub fn ask(&mut self, now: Duration) {
+    pub fn record_query(&mut self, now: Duration) {
         self.asked = Some(now);
     }
 
     /// Takes the owners' words: whether each reaches a majority of its group, as far as
     /// they can tell. Those that have just started can't, and would bring back a whole
     /// failure domain in the middle of a cut.
-    pub fn answer(&mut self, words: &[Option<bool>]) {
+    pub fn record_replies(&mut self, words: &[Option<bool>]) {
         let told = words.iter().flatten();
         if told.clone().count() == 0 {
             return;
@@ -189,7 +189,7 @@
 }
 
 /// The boxes of the same failure domain that a box warns.
-pub fn neighbours<'a>(
+pub fn alert_targets<'a>(
     boxes: &'a [Listing],
     name: &str,
     domain: &str,
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -24,7 +24,7 @@
 use crate::decisions::duty::Claim;
 use crate::decisions::group::{Action, Event, Group, Request, Settings};
 use crate::decisions::owners::Ranking;
-use crate::decisions::reach::Reach;
+use crate::decisions::partition::Monitor;
 use crate::declarations::snapshot::{Plan, Snapshot};
 use crate::events;
 
@@ -79,7 +79,7 @@
     /// When every box may be taken to know this one from the list.
     listed: Option<Duration>,
     knows_boxes: bool,
-    reach: Reach,
+    reach: Monitor,
     next: u64,
 }
 
@@ -100,7 +100,7 @@
             ranking: Ranking::default(),
             listed: None,
             knows_boxes: false,
-            reach: Reach::default(),
+            reach: Monitor::default(),
             next: 1,
         }
     }
@@ -110,7 +110,7 @@
         loop {
             let now = self.context.now();
             let wake = self.groups.values().map(|owned| owned.wake);
-            let wake = wake.chain(self.reach.due(now)).min();
+            let wake = wake.chain(self.reach.query_due(now)).min();
             let sleep = wake.map_or(MOST_SLEEP, |wake| wake.saturating_sub(now));
             tokio::select! {
                 biased;
@@ -186,10 +186,10 @@
             }
             Message::LeaveMost(most) => self.set_leave_most(most),
             Message::Listed => self.tell_listed(),
-            Message::Refused => self.reach.refuse(self.context.now()),
+            Message::Refused => self.reach.record_refusal(self.context.now()),
             Message::Warned { from } => self.take_warning(&from),
             Message::Reached(words) => {
-                self.reach.answer(&words);
+                self.reach.record_replies(&words);
                 self.context.settled.send_replace(true);
             }
             Message::Reach { group, reply } => {
--- a/src/node/driver/reaching.rs
+++ b/src/node/driver/reaching.rs
@@ -6,7 +6,7 @@
 use rand::seq::IndexedRandom;
 
 use super::*;
-use crate::decisions::reach::{View, neighbours};
+use crate::decisions::partition::{Counts, alert_targets};
 use crate::node::peers;
 
 /// Groups that are asked about: a cut shows in all of them.
@@ -22,16 +22,16 @@
             return;
         }
         let now = self.context.now();
-        let mut view = View {
+        let mut view = Counts {
             groups: self.snapshot.groups.len(),
             owned: self.groups.len(),
-            listed: self.is_listed(),
-            ..View::default()
+            list_settled: self.is_listed(),
+            ..Counts::default()
         };
         for owned in self.groups.values() {
             match owned.group.reaches(now) {
-                Some(true) => view.reached += 1,
-                Some(false) => view.cut_off += 1,
+                Some(true) => view.with_majority += 1,
+                Some(false) => view.without_majority += 1,
                 None => {}
             }
         }
@@ -41,9 +41,9 @@
                 .settled
                 .send_if_modified(|settled| !std::mem::replace(settled, true));
         }
-        self.reach.see(view, now);
-        if self.reach.due(now).is_some_and(|due| due <= now) {
-            self.reach.ask(now);
+        self.reach.update_counts(view, now);
+        if self.reach.query_due(now).is_some_and(|due| due <= now) {
+            self.reach.record_query(now);
             self.ask_reach();
         }
         self.tell_away(now);
@@ -51,7 +51,7 @@
 
     /// Says whether callers are better served elsewhere.
     fn tell_away(&self, now: Duration) {
-        let cut_off = self.reach.is_cut_off();
+        let cut_off = self.reach.is_partitioned();
         let changed = self.context.away.send_if_modified(|away| {
             let changed = away.is_some() != cut_off;
             if changed {
@@ -77,7 +77,7 @@
             return;
         }
         let boxes = self.context.boxes.borrow().clone();
-        let warned = neighbours(&boxes, &settings.name, &settings.domain, &mut rand::rng());
+        let warned = alert_targets(&boxes, &settings.name, &settings.domain, &mut rand::rng());
         for neighbour in warned {
             self.context.metrics.cut_warnings.add(1, &[]);
             let warning = peers::warn(self.context.clone(), neighbour.address.clone());
@@ -87,10 +87,10 @@
 
     /// Takes a neighbour's word that other failure domains are silent.
     pub(super) fn take_warning(&mut self, from: &str) {
-        if self.reach.is_cut_off() {
+        if self.reach.is_partitioned() {
             return;
         }
-        if self.reach.warn(self.context.now()) {
+        if self.reach.record_alert(self.context.now()) {
             events::emit(&self.context.log, &events::CUT_WARNING, &[("from", &from)]);
             self.warn_neighbours();
         }
@@ -128,9 +128,9 @@
         }
         let now = self.context.now();
         if answered {
-            return self.reach.hear(domain, now);
+            return self.reach.record_answer(domain, now);
         }
-        if self.reach.miss(&domain.clone(), now) {
+        if self.reach.record_failure(&domain.clone(), now) {
             self.warn_neighbours();
             self.hurry();
         }
