--- a/examples/detectors.rs
+++ b/examples/detectors.rs
@@ -68,12 +68,12 @@
         answers.retain(|(at, sent)| {
             let due = *at <= now;
             if due {
-                detector.heard(*sent, now);
+                detector.record_answer(*sent, now);
             }
             !due
         });
-        if now >= detector.due() {
-            detector.sent(now);
+        if now >= detector.probe_due() {
+            detector.record_probe(now);
             measured.probes += 1;
             if let Some(round_trip) = round_trip {
                 answers.push((now + *round_trip, now));
@@ -101,12 +101,12 @@
             answers.retain(|(at, sent)| {
                 let due = *at <= now;
                 if due && *at <= crash {
-                    detector.heard(*sent, now);
+                    detector.record_answer(*sent, now);
                 }
                 !due
             });
-            if now >= detector.due() {
-                detector.sent(now);
+            if now >= detector.probe_due() {
+                detector.record_probe(now);
                 if let Some(round_trip) = trace.round_trips[i as usize] {
                     answers.push((now + round_trip, now));
                 }
--- a/src/borders/table.rs
+++ b/src/borders/table.rs
@@ -112,22 +112,22 @@
 
 /// How a box that waits for news reads the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Pace {
+pub enum Polling {
     /// Not at all: others tell what is new.
-    Rest,
+    Paused,
     /// For itself.
     #[default]
-    Calm,
+    Normal,
     /// For others too, who want to know that the table still answers.
-    Brisk,
+    Frequent,
 }
 
-impl fmt::Display for Pace {
+impl fmt::Display for Polling {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Pace::Rest => "rest",
-            Pace::Calm => "calm",
-            Pace::Brisk => "brisk",
+            Polling::Paused => "rest",
+            Polling::Normal => "calm",
+            Polling::Frequent => "brisk",
         })
     }
 }
@@ -146,7 +146,7 @@
         tokio::time::sleep(poll).await;
     }
     /// Says how the table is to be read from now on, where waits for news have a price.
-    fn set_pace(&self, _: Pace) {}
+    fn set_polling(&self, _: Polling) {}
     /// Time since the table last answered; none while it rests, is down or does not
     /// tell.
     fn heard(&self) -> Option<Duration> {
--- a/src/decisions/detect.rs
+++ b/src/decisions/detect.rs
@@ -1,4 +1,5 @@
-//! Failure detectors for silence. A refused or reset connection needs none.
+//! Failure detectors for members that don't answer. A refused or reset connection is evident
+//! without a detector.
 
 pub mod adaptive;
 pub mod baseline;
@@ -6,18 +7,19 @@
 
 use std::time::Duration;
 
-/// Decides from probes and answers whether the other side is to be suspected.
+/// Suspects a member of having failed, from the times of its probes and answers.
 pub trait Detector {
-    /// When the next probe is due.
-    fn due(&self) -> Duration;
-    fn sent(&mut self, now: Duration);
-    /// An answer came to a probe that was sent at `sent`. Other traffic counts too.
-    fn heard(&mut self, sent: Duration, now: Duration);
+    /// Returns when the next probe is due.
+    fn probe_due(&self) -> Duration;
+    /// Records that a probe is being sent.
+    fn record_probe(&mut self, now: Duration);
+    /// Records an answer to a probe, or to any other request, that was sent at `sent`.
+    fn record_answer(&mut self, sent: Duration, now: Duration);
     fn suspects(&self, now: Duration) -> bool;
-    /// Moment at which the silence so far becomes a suspicion, if it lasts.
+    /// Returns when the member becomes suspect unless it answers before, if that is known.
     fn deadline(&self) -> Option<Duration>;
-    /// Has the next probe sent at once, unless the last one is quite recent.
-    fn hurry(&mut self, now: Duration);
-    /// Changes the time between two probes, where the detector has one.
+    /// Makes the next probe due at once. A detector may decline if it has just sent one.
+    fn expedite_probe(&mut self, now: Duration);
+    /// Sets the time between two regular probes.
     fn set_period(&mut self, period: Duration);
 }
--- a/src/decisions/detect/adaptive.rs
+++ b/src/decisions/detect/adaptive.rs
@@ -1,20 +1,22 @@
-//! Suspects when the next answer is later than expected from the last ones.
+//! Suspects a member when its next answer is overdue by the delays of the last ones.
 //!
-//! The expected arrival is the mean of the last answers' delays after their
-//! probes' due times, plus a safety margin.
+//! The answer is expected one period after the last answered probe, plus the mean delay and a
+//! safety margin.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use super::Detector;
 
+/// Number of delays that count towards the mean.
 const WINDOW: usize = 100;
 
 pub struct Adaptive {
     period: Duration,
     margin: Duration,
-    due: Duration,
-    newest: Duration,
+    probe_due: Duration,
+    /// When the latest answered probe was sent.
+    last_answered: Duration,
     delays: VecDeque<Duration>,
     sum: Duration,
 }
@@ -24,8 +26,8 @@
         Self {
             period,
             margin,
-            due: now,
-            newest: now,
+            probe_due: now,
+            last_answered: now,
             delays: VecDeque::new(),
             sum: Duration::ZERO,
         }
@@ -37,19 +39,19 @@
 }
 
 impl Detector for Adaptive {
-    fn due(&self) -> Duration {
-        self.due
+    fn probe_due(&self) -> Duration {
+        self.probe_due
     }
 
-    fn sent(&mut self, now: Duration) {
-        self.due = now + self.period;
+    fn record_probe(&mut self, now: Duration) {
+        self.probe_due = now + self.period;
     }
 
-    fn heard(&mut self, sent: Duration, now: Duration) {
-        if sent < self.newest {
+    fn record_answer(&mut self, sent: Duration, now: Duration) {
+        if sent < self.last_answered {
             return;
         }
-        self.newest = sent;
+        self.last_answered = sent;
         let delay = now.saturating_sub(sent);
         self.delays.push_back(delay);
         self.sum += delay;
@@ -59,15 +61,15 @@
     }
 
     fn suspects(&self, now: Duration) -> bool {
-        now > self.newest + self.period + self.mean() + self.margin
+        now > self.last_answered + self.period + self.mean() + self.margin
     }
 
     fn deadline(&self) -> Option<Duration> {
-        Some(self.newest + self.period + self.mean() + self.margin)
+        Some(self.last_answered + self.period + self.mean() + self.margin)
     }
 
-    fn hurry(&mut self, now: Duration) {
-        self.due = self.due.min(now);
+    fn expedite_probe(&mut self, now: Duration) {
+        self.probe_due = self.probe_due.min(now);
     }
 
     fn set_period(&mut self, period: Duration) {
--- a/src/decisions/detect/fixed.rs
+++ b/src/decisions/detect/fixed.rs
@@ -1,4 +1,4 @@
-//! Suspects after a fixed time without an answer.
+//! Suspects a member after a fixed time without an answer.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 pub struct Fixed {
     period: Duration,
     timeout: Duration,
-    due: Duration,
-    heard: Duration,
+    probe_due: Duration,
+    last_answer: Duration,
 }
 
 impl Fixed {
@@ -16,35 +16,35 @@
         Self {
             period,
             timeout,
-            due: now,
-            heard: now,
+            probe_due: now,
+            last_answer: now,
         }
     }
 }
 
 impl Detector for Fixed {
-    fn due(&self) -> Duration {
-        self.due
+    fn probe_due(&self) -> Duration {
+        self.probe_due
     }
 
-    fn sent(&mut self, now: Duration) {
-        self.due = now + self.period;
+    fn record_probe(&mut self, now: Duration) {
+        self.probe_due = now + self.period;
     }
 
-    fn heard(&mut self, _sent: Duration, now: Duration) {
-        self.heard = self.heard.max(now);
+    fn record_answer(&mut self, _sent: Duration, now: Duration) {
+        self.last_answer = self.last_answer.max(now);
     }
 
     fn suspects(&self, now: Duration) -> bool {
-        now > self.heard + self.timeout
+        now > self.last_answer + self.timeout
     }
 
     fn deadline(&self) -> Option<Duration> {
-        Some(self.heard + self.timeout)
+        Some(self.last_answer + self.timeout)
     }
 
-    fn hurry(&mut self, now: Duration) {
-        self.due = self.due.min(now);
+    fn expedite_probe(&mut self, now: Duration) {
+        self.probe_due = self.probe_due.min(now);
     }
 
     fn set_period(&mut self, period: Duration) {
--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -27,10 +27,10 @@
 use super::duty::Ballot;
 use super::fair::{Admission, Due, Fair};
 use super::latency::Latency;
-use super::owners::{LEAST_SHARE, share};
+use super::owners::{MIN_CONNECTION_SHARE, connection_share};
 use super::position::Position;
 use super::replace::{Doubt, Replace, Step};
-use super::route::{Candidate, Demand, History, choose};
+use super::route::{Candidate, Demand, History, choose_member};
 use crate::borders::member::{Bid, MemberError, Role, Status};
 use crate::declarations::resource::{Durability, Member as MemberSpec};
 use crate::declarations::snapshot::Plan;
@@ -245,7 +245,7 @@
         now: Duration,
     ) -> Self {
         let owners = plan.group.owners.max(1);
-        let capacity = share(plan.group.connections, owners);
+        let capacity = connection_share(plan.group.connections, owners);
         let member = |spec: &MemberSpec| Member::new(spec.clone(), capacity, &settings, now);
         let members: Vec<Member> = plan.members.iter().map(member).collect();
         let mut group = Self {
@@ -287,7 +287,7 @@
 
     /// This owner's share of the connections to each member.
     pub fn share(&self) -> usize {
-        share(self.plan.group.connections, self.owners)
+        connection_share(self.plan.group.connections, self.owners)
     }
 
     pub fn term(&self) -> u64 {
@@ -388,7 +388,7 @@
             Event::Vacate { member } => self.vacate(member, now, &mut out),
             Event::Late { member, after } => {
                 self.members[member].latency.late(after, now);
-                self.members[member].detector.hurry(now);
+                self.members[member].detector.expedite_probe(now);
                 if self.members[member].spec.domain != self.domain {
                     self.hurry_far(now);
                 }
@@ -398,7 +398,7 @@
             Event::Hurry => self.hurry_far(now),
             Event::Unreached { member } => {
                 self.members[member].wanted = true;
-                self.members[member].detector.hurry(now);
+                self.members[member].detector.expedite_probe(now);
             }
             Event::Behind { member } => {
                 self.members[member].applied = Position::ZERO;
@@ -407,7 +407,7 @@
             Event::Asked => {
                 // Owners that are not the first look seldom: now is the time.
                 if let Some(primary) = self.replace.primary {
-                    self.members[primary].detector.hurry(now);
+                    self.members[primary].detector.expedite_probe(now);
                 }
             }
             Event::Broken { member } => self.broken(member, now, &mut out),
@@ -482,7 +482,7 @@
         let domain = &self.domain;
         let far = self.members.iter_mut();
         for member in far.filter(|member| member.spec.domain != *domain) {
-            member.detector.hurry(now);
+            member.detector.expedite_probe(now);
         }
     }
 
@@ -505,7 +505,7 @@
         let never = Duration::MAX;
         let present = self.members.iter().filter(|member| !member.gone);
         let probes = present.map(|member| {
-            let due = member.detector.due();
+            let due = member.detector.probe_due();
             // A suspicion has to be noticed when nothing else happens.
             let silent = member.detector.deadline().filter(|_| !member.suspected);
             let due = silent.map_or(due, |deadline| due.min(deadline));
--- a/src/decisions/group/membership.rs
+++ b/src/decisions/group/membership.rs
@@ -15,7 +15,7 @@
         };
         let group = &self.plan.group;
         let useful = (group.slots * turns).div_ceil(self.owners.max(1)) as usize;
-        self.share().min(useful.max(LEAST_SHARE))
+        self.share().min(useful.max(MIN_CONNECTION_SHARE))
     }
 
     /// Connections that this box may have at a member at once.
--- a/src/decisions/group/observing.rs
+++ b/src/decisions/group/observing.rs
@@ -22,7 +22,7 @@
             Ok(status) if self.sane(&status) => self.observe(member, status, began, now, out),
             Ok(_) => out.push(Action::Note(Note::Nonsense { member })),
             Err(MemberError::Broken) => self.broken(member, now, out),
-            Err(MemberError::Busy) => self.members[member].detector.heard(began, now),
+            Err(MemberError::Busy) => self.members[member].detector.record_answer(began, now),
             Err(_) => {}
         }
     }
@@ -43,7 +43,7 @@
         out: &mut Vec<Action>,
     ) {
         let known = &mut self.members[member];
-        known.detector.heard(began, now);
+        known.detector.record_answer(began, now);
         if known.broken.is_some_and(|since| began >= since) {
             known.broken = None;
         }
@@ -70,7 +70,7 @@
             self.note_clear(member, &status, began);
         }
         if Some(member) == self.replace.primary && status.promised == self.replace.term {
-            self.history.observe(began, status.log.index);
+            self.history.record(began, status.log.index);
         }
         let counts = self.replace.accepts(member) && self.vouches(member, now);
         if counts && !self.is_demoted(member) {
@@ -114,7 +114,7 @@
     /// after a promotion it follows the new primary: so it kept to the term when the
     /// primary had not yet come so far.
     pub(super) fn received(&mut self, member: usize, index: u64) {
-        if let Some(moment) = self.history.before(index) {
+        if let Some(moment) = self.history.last_before(index) {
             self.keep(member, moment);
         }
     }
--- a/src/decisions/group/passing.rs
+++ b/src/decisions/group/passing.rs
@@ -95,7 +95,7 @@
         if fresh {
             // What hit one may have hit the others: look before their turn.
             for member in &mut self.members {
-                member.detector.hurry(now);
+                member.detector.expedite_probe(now);
             }
             self.requeue(now, out);
         }
@@ -212,7 +212,7 @@
     fn want_for_lease(&mut self, now: Duration) {
         let lease = self.settings.replace.lease;
         let late = |seen: Option<Duration>| seen.is_none_or(|seen| now >= seen + lease / 2);
-        let newest = self.history.newest();
+        let newest = self.history.newest_index();
         // One that was just seen can show more only once the primary has written more.
         let helps = |member: &Member| {
             let shown = member.status().map(|status| status.log.index);
@@ -248,14 +248,14 @@
             if member.gone {
                 continue;
             }
-            let due = now >= member.detector.due();
+            let due = now >= member.detector.probe_due();
             let rested = member.probed.is_none_or(|probed| now >= probed + gap);
             let asked = member.wanted && member.probes == 0 && rested;
             if !due && !asked {
                 continue;
             }
             if due {
-                member.detector.sent(now);
+                member.detector.record_probe(now);
             }
             member.wanted = false;
             member.probes += 1;
--- a/src/decisions/group/placing.rs
+++ b/src/decisions/group/placing.rs
@@ -156,7 +156,7 @@
         out: &mut Vec<Action>,
     ) {
         let candidates = self.candidates(now);
-        if let Some(member) = choose(&candidates, demand, &self.domain, &mut self.dice) {
+        if let Some(member) = choose_member(&candidates, demand, &self.domain, &mut self.dice) {
             self.refresh(&candidates, member, demand, now);
             return self.enqueue(request, member, now, out);
         }
@@ -257,7 +257,7 @@
             if member.gone || member.suspected || leaves || !follows {
                 continue;
             }
-            let moment = self.history.moment(member.applied.index);
+            let moment = self.history.last_at_or_before(member.applied.index);
             let moment = moment.zip(verified).map(|(seen, sure)| seen.min(sure));
             candidates.push(Candidate {
                 member: i,
@@ -472,7 +472,7 @@
     ) {
         let primary = Some(member) == self.replace.primary;
         let known = &mut self.members[member];
-        known.detector.heard(began, now);
+        known.detector.record_answer(began, now);
         known.latency.answered(now.saturating_sub(began), now);
         if primary && led {
             self.keep(member, began);
@@ -490,7 +490,7 @@
         let known = &mut self.members[member];
         known.applied = known.applied.max(position);
         if Some(member) == self.replace.primary {
-            self.history.observe(began, position.index);
+            self.history.record(began, position.index);
             return;
         }
         self.received(member, position.index);
--- a/src/decisions/owners.rs
+++ b/src/decisions/owners.rs
@@ -30,7 +30,7 @@
 
     /// Whether so many owners are all boxes there are. Only then do two boxes with
     /// different lists agree on who owns a group.
-    pub fn is_everybody(&self, owners: usize) -> bool {
+    pub fn covers_all_boxes(&self, owners: usize) -> bool {
         owners == self.boxes.len()
     }
 
@@ -78,7 +78,7 @@
             false => OWNERS_PER_SLOT,
         };
         let useful = group.slots * per_slot;
-        let count = count(group.owners, group.connections, useful, self.len());
+        let count = owner_count(group.owners, group.connections, useful, self.len());
         self.owners(&plan.id, count, &domains)
     }
 
@@ -97,7 +97,7 @@
 /// Owners in the order in which a workspace's statements try them, out of the one for all:
 /// its own choice among those of the caller's failure domain, then among the others. A
 /// connection serves one workspace only, so that each keeps to few owners.
-pub fn order(owners: &[Listing], domain: &str, workspace: &str) -> Vec<Listing> {
+pub fn workspace_order(owners: &[Listing], domain: &str, workspace: &str) -> Vec<Listing> {
     let seed = xxh3_64(workspace.as_bytes());
     let weight = |listing: &Listing| xxh3_64_with_seed(listing.name.as_bytes(), seed);
     let mut ordered = owners.to_vec();
@@ -109,11 +109,11 @@
 /// its members' connections allow when each has the fewest that serve, and no more than
 /// are `useful`. Each owner looks at the members, and the fewer
 /// share the statements, the more their answers tell.
-pub fn count(declared: u32, connections: u32, useful: u32, boxes: usize) -> usize {
+pub fn owner_count(declared: u32, connections: u32, useful: u32, boxes: usize) -> usize {
     if declared > 0 {
         return declared as usize;
     }
-    let allowed = share(connections, 1) / LEAST_SHARE;
+    let allowed = connection_share(connections, 1) / MIN_CONNECTION_SHARE;
     allowed.min(useful as usize).clamp(1, boxes.max(1))
 }
 
@@ -129,12 +129,12 @@
 
 /// Connections to a member that an owner needs: one that holds a transaction, and
 /// another.
-pub const LEAST_SHARE: usize = 2;
+pub const MIN_CONNECTION_SHARE: usize = 2;
 
 /// Connections to one member that each owner may hold.
 ///
 /// A tenth is kept in reserve for the moments when two lists of boxes differ.
-pub fn share(connections: u32, owners: u32) -> usize {
+pub fn connection_share(connections: u32, owners: u32) -> usize {
     const RESERVE_PERCENT: u32 = 10;
     let usable = connections - connections * RESERVE_PERCENT / 100;
     ((usable / owners.max(1)) as usize).max(1)
--- a/src/decisions/readers.rs
+++ b/src/decisions/readers.rs
@@ -16,7 +16,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::borders::roster::Listing;
-use crate::borders::table::Pace;
+use crate::borders::table::Polling;
 
 /// Boxes of one failure domain that each read by themselves: below, two readers would
 /// save little.
@@ -48,9 +48,9 @@
     /// Time in which an accepted change has to be in force.
     pub apply: Duration,
     /// Time at the start in which nothing is read but the list of boxes.
-    pub gather: Duration,
+    pub roster_wait: Duration,
     /// Time at the start, after that, in which readers may still answer.
-    pub grace: Duration,
+    pub reader_wait: Duration,
 }
 
 impl Settings {
@@ -58,11 +58,11 @@
     pub fn new(apply: Duration, first_start: bool) -> Self {
         Self {
             apply,
-            gather: match first_start {
+            roster_wait: match first_start {
                 true => GATHER,
                 false => Duration::ZERO,
             },
-            grace: START_GRACE,
+            reader_wait: START_GRACE,
         }
     }
 }
@@ -71,14 +71,14 @@
     fn default() -> Self {
         Self {
             apply: Duration::from_secs(3),
-            gather: Duration::ZERO,
-            grace: Duration::ZERO,
+            roster_wait: Duration::ZERO,
+            reader_wait: Duration::ZERO,
         }
     }
 }
 
 /// Boxes that read the table for a failure domain; none where each reads by itself.
-pub fn readers<'a>(boxes: &'a [Listing], domain: &str) -> Vec<&'a Listing> {
+pub fn choose_readers<'a>(boxes: &'a [Listing], domain: &str) -> Vec<&'a Listing> {
     let present = |listing: &&Listing| *listing.domain == *domain && !listing.leaving;
     let mut present: Vec<&Listing> = boxes.iter().filter(present).collect();
     if present.len() <= SMALL {
@@ -107,20 +107,20 @@
 
 /// Reading as one box does it.
 #[derive(Debug, Default)]
-pub struct Readers {
+pub struct Schedule {
     settings: Settings,
     /// When the box began to read.
     began: Duration,
     role: Role,
     /// Addresses of the readers, while this box asks them.
     readers: Vec<Arc<str>>,
-    next: usize,
+    next_reader: usize,
     shunned: HashMap<Arc<str>, Duration>,
     /// The newest moment whose state of the table is known here.
     informed: Option<Duration>,
 }
 
-impl Readers {
+impl Schedule {
     pub fn new(settings: Settings, now: Duration) -> Self {
         Self {
             settings,
@@ -131,7 +131,7 @@
 
     /// Takes a new list of boxes.
     pub fn set_boxes(&mut self, boxes: &[Listing], name: &str, domain: &str) {
-        let chosen = readers(boxes, domain);
+        let chosen = choose_readers(boxes, domain);
         self.role = match chosen.iter().any(|reader| *reader.name == *name) {
             _ if boxes.is_empty() => Role::Unknown,
             _ if chosen.is_empty() => Role::Alone,
@@ -146,27 +146,27 @@
     }
 
     /// How this box is to read the table itself.
-    pub fn pace(&self, now: Duration) -> Pace {
-        let gathers = now < self.began + self.settings.gather;
+    pub fn polling(&self, now: Duration) -> Polling {
+        let gathers = now < self.began + self.settings.roster_wait;
         match self.role {
-            _ if gathers => Pace::Rest,
-            Role::Alone => Pace::Calm,
-            Role::Reader => Pace::Brisk,
-            Role::Unknown | Role::Follower if now < self.rests_until() => Pace::Rest,
-            Role::Unknown | Role::Follower => Pace::Calm,
+            _ if gathers => Polling::Paused,
+            Role::Alone => Polling::Normal,
+            Role::Reader => Polling::Frequent,
+            Role::Unknown | Role::Follower if now < self.paused_until() => Polling::Paused,
+            Role::Unknown | Role::Follower => Polling::Normal,
         }
     }
 
     /// Until when the table may rest by what is known here: until that is too old, or until
     /// readers have had their time at the start.
-    pub fn rests_until(&self) -> Duration {
+    pub fn paused_until(&self) -> Duration {
         let fresh = self.informed.map(|informed| informed + self.stale());
         self.started_at().max(fresh.unwrap_or_default())
     }
 
     /// When the box has started, as far as reading goes.
     fn started_at(&self) -> Duration {
-        self.began + self.settings.gather + self.settings.grace
+        self.began + self.settings.roster_wait + self.settings.reader_wait
     }
 
     /// Age from which on a box reads by itself.
@@ -180,31 +180,31 @@
     }
 
     /// The reader to ask next, in turn, so that one that hears nothing is found out.
-    pub fn next(&mut self, now: Duration) -> Option<Arc<str>> {
+    pub fn next_reader(&mut self, now: Duration) -> Option<Arc<str>> {
         let shunned = &self.shunned;
         let fit = |reader: &&Arc<str>| shunned.get(*reader).is_none_or(|until| now >= *until);
         let fit: Vec<&Arc<str>> = self.readers.iter().filter(fit).collect();
         let count = fit.len();
         let chosen = fit
-            .get(self.next % count.max(1))
+            .get(self.next_reader % count.max(1))
             .map(|reader| (*reader).clone());
-        self.next = self.next.wrapping_add(1);
+        self.next_reader = self.next_reader.wrapping_add(1);
         chosen
     }
 
     /// A reader answered, and has itself heard from the table `age` ago; none when it
     /// has not.
-    pub fn heard(&mut self, reader: &Arc<str>, age: Option<Duration>, now: Duration) {
+    pub fn record_answer(&mut self, reader: &Arc<str>, age: Option<Duration>, now: Duration) {
         match age {
             Some(age) if age < self.stale() => {
                 self.informed = self.informed.max(Some(now.saturating_sub(age)));
             }
-            _ => self.failed(reader, now),
+            _ => self.record_failure(reader, now),
         }
     }
 
     /// A reader gave no answer.
-    pub fn failed(&mut self, reader: &Arc<str>, now: Duration) {
+    pub fn record_failure(&mut self, reader: &Arc<str>, now: Duration) {
         let shun = match self.is_starting(now) {
             true => SHUN_AT_START,
             false => SHUN,
--- a/src/decisions/route.rs
+++ b/src/decisions/route.rs
@@ -20,7 +20,7 @@
 
 impl History {
     /// The primary answered with `index` to a question put at `began`.
-    pub fn observe(&mut self, began: Duration, index: u64) {
+    pub fn record(&mut self, began: Duration, index: u64) {
         if let Some(last) = self.samples.back_mut() {
             if began <= last.0 || index < last.1 {
                 return;
@@ -37,7 +37,7 @@
     }
 
     /// Greatest index that the primary was seen at.
-    pub fn newest(&self) -> Option<u64> {
+    pub fn newest_index(&self) -> Option<u64> {
         self.samples.back().map(|sample| sample.1)
     }
 
@@ -46,13 +46,13 @@
     }
 
     /// Newest moment at which the primary is known to be before `index`.
-    pub fn before(&self, index: u64) -> Option<Duration> {
+    pub fn last_before(&self, index: u64) -> Option<Duration> {
         let later = self.samples.partition_point(|sample| sample.1 < index);
         later.checked_sub(1).map(|i| self.samples[i].0)
     }
 
     /// Newest moment at which the primary is known to be at or before `index`.
-    pub fn moment(&self, index: u64) -> Option<Duration> {
+    pub fn last_at_or_before(&self, index: u64) -> Option<Duration> {
         let newer = self.samples.partition_point(|sample| sample.1 <= index);
         newer.checked_sub(1).map(|i| self.samples[i].0)
     }
@@ -90,7 +90,7 @@
 
 /// Picks the member that meets the demand and is expected to answer first from
 /// `domain`; one of them at random where several are.
-pub fn choose(
+pub fn choose_member(
     candidates: &[Candidate],
     demand: Demand,
     domain: &str,
--- a/src/node/context.rs
+++ b/src/node/context.rs
@@ -15,7 +15,7 @@
 use crate::borders::clock::Clock;
 use crate::borders::member::Members;
 use crate::borders::roster::{Listing, Roster};
-use crate::borders::table::{Pace, Table};
+use crate::borders::table::{Polling, Table};
 use crate::configs::live::Live;
 use crate::configs::run::Run;
 use crate::declarations::resource::{Database, Workspace};
@@ -64,7 +64,7 @@
     /// Whether the box has found out if it is cut off.
     pub settled: watch::Sender<bool>,
     /// How the table is read.
-    pub pace: Cell<Pace>,
+    pub pace: Cell<Polling>,
 }
 
 /// Counts a caller for as long as it is connected.
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -19,7 +19,7 @@
 use super::message::{Ask, Denial, Dump, Grant, Health, Incarnation, Message, Settle, SettleNeed};
 use crate::borders::member::Member;
 use crate::borders::roster::Listing;
-use crate::borders::table::Pace;
+use crate::borders::table::Polling;
 use crate::decisions::confirm::Outcome;
 use crate::decisions::duty::Claim;
 use crate::decisions::group::{Action, Event, Group, Request, Settings};
@@ -208,7 +208,7 @@
                 let _ = reply.send(Dump {
                     callers: self.context.callers.get(),
                     idle_connections: self.context.idle.get(),
-                    resting: self.context.pace.get() == Pace::Rest,
+                    resting: self.context.pace.get() == Polling::Paused,
                     groups: groups.collect(),
                 });
             }
--- a/src/node/driver/acting.rs
+++ b/src/node/driver/acting.rs
@@ -208,7 +208,7 @@
     pub(super) fn revoke(&self, id: &Arc<str>, owned: &Owned, term: u64) {
         let own = &self.context.settings.name;
         let owners = self.ranking.owners_of(&owned.group.plan);
-        if !self.ranking.is_everybody(owners.len()) {
+        if !self.ranking.covers_all_boxes(owners.len()) {
             // Another box may take itself for an owner by an older list.
             return;
         }
--- a/src/node/follow.rs
+++ b/src/node/follow.rs
@@ -14,8 +14,8 @@
 use super::news::{Answer, Cursor, State};
 use super::peers;
 use crate::borders::roster::Listing;
-use crate::borders::table::Pace;
-use crate::decisions::readers::{Readers, Settings};
+use crate::borders::table::Polling;
+use crate::decisions::readers::{Schedule, Settings};
 use crate::declarations::snapshot::Snapshot;
 use crate::events;
 
@@ -61,11 +61,11 @@
     let mut follower = Follower {
         context: context.clone(),
         keeper,
-        readers: Readers::new(settings, context.now()),
+        readers: Schedule::new(settings, context.now()),
         told: HashMap::new(),
     };
     // As the table is started.
-    context.pace.set(Pace::Rest);
+    context.pace.set(Polling::Paused);
     loop {
         let settings = &context.settings;
         let listed = boxes.borrow_and_update().clone();
@@ -73,7 +73,7 @@
             .readers
             .set_boxes(&listed, &settings.name, &settings.domain);
         follower.set_pace();
-        match follower.readers.next(context.now()) {
+        match follower.readers.next_reader(context.now()) {
             Some(reader) => follower.ask_in_time(&reader).await,
             None => {
                 let pause = match follower.readers.is_starting(context.now()) {
@@ -89,7 +89,7 @@
 struct Follower {
     context: Rc<Context>,
     keeper: Sender,
-    readers: Readers,
+    readers: Schedule,
     /// By reader.
     told: HashMap<Arc<str>, Told>,
 }
@@ -116,13 +116,13 @@
 
 impl Follower {
     fn set_pace(&self) {
-        let pace = self.readers.pace(self.context.now());
+        let pace = self.readers.polling(self.context.now());
         let before = self.context.pace.replace(pace);
         if before == pace {
             return;
         }
-        self.context.table.set_pace(pace);
-        let until = self.readers.rests_until();
+        self.context.table.set_polling(pace);
+        let until = self.readers.paused_until();
         let fields: [(_, &dyn std::fmt::Display); 2] =
             [("pace", &pace), ("good_until_ms", &until.as_millis())];
         events::emit(&self.context.log, &events::PACE, &fields);
@@ -131,9 +131,9 @@
     /// Asks one reader; the table is read again as soon as what is known grows stale.
     async fn ask_in_time(&mut self, reader: &Arc<str>) {
         let context = self.context.clone();
-        let stale = self.readers.rests_until();
+        let stale = self.readers.paused_until();
         let Some(question) = self.question(reader).await else {
-            return self.readers.failed(reader, context.now());
+            return self.readers.record_failure(reader, context.now());
         };
         let left = stale.saturating_sub(context.now());
         let answer = {
@@ -149,7 +149,7 @@
         };
         match answer {
             Some(answer) => self.take(reader, answer),
-            None => self.readers.failed(reader, context.now()),
+            None => self.readers.record_failure(reader, context.now()),
         }
     }
 
@@ -177,7 +177,7 @@
             compared: before.and_then(|told| told.compared),
         };
         self.told.insert(reader.clone(), told);
-        self.readers.heard(reader, age, self.context.now());
+        self.readers.record_answer(reader, age, self.context.now());
         let _ = self.keeper.send(Request::Followed(answer));
     }
 }
--- a/src/node/session.rs
+++ b/src/node/session.rs
@@ -15,7 +15,7 @@
 use crate::borders::roster::Listing;
 use crate::decisions::floors::{Floors, Scope};
 use crate::decisions::group::{Reason, Refusal, Via};
-use crate::decisions::owners::order;
+use crate::decisions::owners::workspace_order;
 use crate::decisions::position::Position;
 use crate::events;
 
@@ -249,7 +249,7 @@
         let settings = &context.settings;
         let owners = context.routes.owners(group, &snapshot, &boxes, settings);
         match workspace {
-            Some(workspace) => order(&owners, &settings.domain, workspace).into(),
+            Some(workspace) => workspace_order(&owners, &settings.domain, workspace).into(),
             None => owners,
         }
     }
--- a/src/platform/ports.rs
+++ b/src/platform/ports.rs
@@ -24,7 +24,7 @@
     let settings = table::Settings {
         apply: run.apply,
         rests: run.follow,
-        gather: reading.gather,
+        gather: reading.roster_wait,
     };
     let metrics: Rc<Metrics> = Rc::default();
     let mirror = Mirror::start(store, settings, metrics.clone(), log.clone());
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -19,7 +19,7 @@
 
 use super::store::{Change, Rows, Store, StoreError};
 use crate::borders::roster::{Listing, Roster, Tagged};
-use crate::borders::table::{Commit, Pace, Revision, Scan, Table, TableError, Verdict, Write};
+use crate::borders::table::{Commit, Polling, Revision, Scan, Table, TableError, Verdict, Write};
 use crate::events;
 use crate::metrics::Metrics;
 use cache::{BOXES, Cache, Written};
@@ -56,7 +56,7 @@
     read: Cell<usize>,
     /// The list of boxes was read.
     listed: Cell<bool>,
-    pace: watch::Sender<Pace>,
+    pace: watch::Sender<Polling>,
     /// When the operator's rows were last answered for.
     heard: Cell<Option<Instant>>,
     settings: Settings,
@@ -90,8 +90,8 @@
     /// Starts to keep up with the store.
     pub fn start(store: Store, settings: Settings, metrics: Rc<Metrics>, log: Logger) -> Rc<Self> {
         let pace = match settings.rests {
-            true => Pace::Rest,
-            false => Pace::default(),
+            true => Polling::Paused,
+            false => Polling::default(),
         };
         let mirror = Rc::new(Self {
             store,
@@ -235,15 +235,15 @@
         }
     }
 
-    fn pace(&self) -> Pace {
+    fn pace(&self) -> Polling {
         *self.pace.borrow()
     }
 
     /// Waits while others tell what is new. Whether it had to.
     async fn rest(&self) -> bool {
-        let rests = self.pace() == Pace::Rest;
+        let rests = self.pace() == Polling::Paused;
         let mut pace = self.pace.subscribe();
-        let awake = pace.wait_for(|pace| *pace != Pace::Rest).await;
+        let awake = pace.wait_for(|pace| *pace != Polling::Paused).await;
         awake.expect("the sender lives as long as this");
         rests
     }
@@ -282,7 +282,7 @@
 
     /// Whether the store answers, or others answer for it.
     fn is_up(&self) -> bool {
-        if self.pace() == Pace::Rest {
+        if self.pace() == Polling::Paused {
             return true;
         }
         let up = self.up.borrow();
@@ -329,7 +329,7 @@
 #[async_trait(?Send)]
 impl Table for Mirror {
     async fn head(&self) -> Result<Revision, TableError> {
-        let all = self.pace() == Pace::Rest || self.read.get() >= Source::ALL.len();
+        let all = self.pace() == Polling::Paused || self.read.get() >= Source::ALL.len();
         match self.is_up() && all {
             true => Ok(self.cache.borrow().head()),
             false => Err(TableError::Down("the store gives no answer".to_owned())),
@@ -378,7 +378,7 @@
         }
     }
 
-    fn set_pace(&self, pace: Pace) {
+    fn set_polling(&self, pace: Polling) {
         let changed = self.pace.send_if_modified(|known| {
             let changed = *known != pace;
             *known = pace;
@@ -391,7 +391,7 @@
     }
 
     fn heard(&self) -> Option<Duration> {
-        let reads = self.is_up() && self.pace() != Pace::Rest;
+        let reads = self.is_up() && self.pace() != Polling::Paused;
         let heard = self.heard.get().filter(|_| reads)?;
         Some(heard.elapsed())
     }
--- a/src/platform/table/source.rs
+++ b/src/platform/table/source.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::borders::table::{Pace, Section};
+use crate::borders::table::{Polling, Section};
 
 /// Waits for changes within the time in which these have to be in force: what followers
 /// know is then fresh for at least as long again.
@@ -42,12 +42,12 @@
     /// Length of one wait for changes, where these have to be in force within `apply`. A
     /// wait that the store forgot is noticed only when it ends, so it is shorter where news
     /// is urgent; each costs a call.
-    pub fn wait(self, pace: Pace, apply: Duration) -> Duration {
+    pub fn wait(self, pace: Polling, apply: Duration) -> Duration {
         match (self, pace) {
             // Its end tells those who follow that the store still answers.
-            (Source::Operator, Pace::Brisk) => apply / BRISK_WAITS,
+            (Source::Operator, Polling::Frequent) => apply / BRISK_WAITS,
             (Source::Operator, _) => Duration::from_secs(8),
-            (Source::Members, Pace::Brisk) => apply,
+            (Source::Members, Polling::Frequent) => apply,
             (Source::Members, _) => Duration::from_secs(12),
             (Source::Own, _) => Duration::from_secs(25),
         }
--- a/tests/unit/owners.rs
+++ b/tests/unit/owners.rs
@@ -3,7 +3,7 @@
 
 use googletest::prelude::*;
 use larkfall::borders::roster::Listing;
-use larkfall::decisions::owners::{Ranking, share};
+use larkfall::decisions::owners::{Ranking, connection_share};
 
 fn boxes(count: usize) -> Vec<Listing> {
     let listing = |i: usize| Listing {
@@ -57,20 +57,20 @@
 
 #[gtest]
 fn shares_leave_a_reserve() {
-    expect_that!(share(24, 3), eq(7));
-    expect_that!(share(40, 3), eq(12));
-    expect_that!(share(2, 3), eq(1));
+    expect_that!(connection_share(24, 3), eq(7));
+    expect_that!(connection_share(40, 3), eq(12));
+    expect_that!(connection_share(2, 3), eq(1));
 }
 
 #[gtest]
 fn owners_follow_from_connections_and_slots_where_none_are_declared() {
-    use larkfall::decisions::owners::count;
+    use larkfall::decisions::owners::owner_count;
     // All of nine boxes; as many as connections allow; as many as slots need.
-    expect_that!(count(0, 23, 12, 9), eq(9));
-    expect_that!(count(0, 12, 12, 71), eq(5));
-    expect_that!(count(0, 283, 12, 72), eq(12));
-    expect_that!(count(0, 1, 1, 5), eq(1));
-    expect_that!(count(4, 283, 3, 72), eq(4));
+    expect_that!(owner_count(0, 23, 12, 9), eq(9));
+    expect_that!(owner_count(0, 12, 12, 71), eq(5));
+    expect_that!(owner_count(0, 283, 12, 72), eq(12));
+    expect_that!(owner_count(0, 1, 1, 5), eq(1));
+    expect_that!(owner_count(4, 283, 3, 72), eq(4));
 }
 
 #[gtest]
@@ -83,6 +83,6 @@
         link_mbps: 0,
     };
     let ranking = Ranking::new(&[listing("a"), listing("b"), listing("c")]);
-    expect_that!(ranking.is_everybody(3), eq(true));
-    expect_that!(ranking.is_everybody(2), eq(false));
+    expect_that!(ranking.covers_all_boxes(3), eq(true));
+    expect_that!(ranking.covers_all_boxes(2), eq(false));
 }
--- a/tests/unit/readers.rs
+++ b/tests/unit/readers.rs
@@ -5,8 +5,8 @@
 
 use googletest::prelude::*;
 use larkfall::borders::roster::Listing;
-use larkfall::borders::table::Pace;
-use larkfall::decisions::readers::{Readers, Settings, readers};
+use larkfall::borders::table::Polling;
+use larkfall::decisions::readers::{Schedule, Settings, choose_readers};
 
 use super::fake::ms;
 
@@ -25,23 +25,23 @@
 }
 
 /// The known of a box that reads nothing itself, and a reader's address.
-fn follower(boxes: &[Listing]) -> (Readers, Arc<str>) {
-    let chosen = readers(boxes, "d");
+fn follower(boxes: &[Listing]) -> (Schedule, Arc<str>) {
+    let chosen = choose_readers(boxes, "d");
     let first = chosen[0].address.clone();
     let chosen: Vec<&Arc<str>> = chosen.iter().map(|reader| &reader.name).collect();
     let follower = boxes.iter().find(|l| !chosen.contains(&&l.name));
-    let mut known = Readers::default();
+    let mut known = Schedule::default();
     known.set_boxes(boxes, &follower.expect("not all are readers").name, "d");
     (known, first)
 }
 
 #[gtest]
 fn in_small_failure_domains_every_box_reads_for_itself() {
-    let mut known = Readers::default();
+    let mut known = Schedule::default();
     known.set_boxes(&boxes(4), "b0", "d");
-    expect_that!(known.pace(ms(0)), eq(Pace::Calm));
-    expect_that!(known.next(ms(0)), none());
-    expect_that!(readers(&boxes(4), "d"), is_empty());
+    expect_that!(known.polling(ms(0)), eq(Polling::Normal));
+    expect_that!(known.next_reader(ms(0)), none());
+    expect_that!(choose_readers(&boxes(4), "d"), is_empty());
 }
 
 #[gtest]
@@ -49,54 +49,63 @@
     let mut listed = boxes(27);
     listed.push(listing(30, "d", 200));
     listed.push(listing(31, "other", 1_000));
-    let chosen: Vec<&str> = readers(&listed, "d").iter().map(|r| &*r.name).collect();
+    let chosen: Vec<&str> = choose_readers(&listed, "d")
+        .iter()
+        .map(|r| &*r.name)
+        .collect();
     expect_that!(chosen.len(), eq(2));
     expect_that!(chosen[0], eq("b30"));
-    expect_that!(readers(&boxes(100), "d").len(), eq(7));
+    expect_that!(choose_readers(&boxes(100), "d").len(), eq(7));
     listed[27].leaving = true;
-    expect_that!(readers(&listed, "d")[0].name.as_ref(), not(eq("b30")));
-    let mut known = Readers::default();
-    known.set_boxes(&boxes(27), &readers(&boxes(27), "d")[0].name, "d");
-    expect_that!(known.pace(ms(0)), eq(Pace::Brisk));
+    expect_that!(
+        choose_readers(&listed, "d")[0].name.as_ref(),
+        not(eq("b30"))
+    );
+    let mut known = Schedule::default();
+    known.set_boxes(&boxes(27), &choose_readers(&boxes(27), "d")[0].name, "d");
+    expect_that!(known.polling(ms(0)), eq(Polling::Frequent));
 }
 
 #[gtest]
 fn a_box_rests_only_on_what_is_fresh() {
     let (mut known, reader) = follower(&boxes(9));
-    expect_that!(known.pace(ms(0)), eq(Pace::Calm));
-    known.heard(&reader, Some(ms(500)), ms(10_000));
-    expect_that!(known.pace(ms(10_000)), eq(Pace::Rest));
-    let stale = known.rests_until();
+    expect_that!(known.polling(ms(0)), eq(Polling::Normal));
+    known.record_answer(&reader, Some(ms(500)), ms(10_000));
+    expect_that!(known.polling(ms(10_000)), eq(Polling::Paused));
+    let stale = known.paused_until();
     expect_that!(stale, lt(ms(12_500)));
-    expect_that!(known.pace(stale), eq(Pace::Calm));
+    expect_that!(known.polling(stale), eq(Polling::Normal));
     // What is old already proves nothing, and is not asked for again at once.
-    known.heard(&reader, Some(ms(5_000)), ms(20_000));
-    known.heard(&reader, None, ms(20_000));
-    expect_that!(known.pace(ms(20_000)), eq(Pace::Calm));
+    known.record_answer(&reader, Some(ms(5_000)), ms(20_000));
+    known.record_answer(&reader, None, ms(20_000));
+    expect_that!(known.polling(ms(20_000)), eq(Polling::Normal));
 }
 
 #[gtest]
 fn readers_are_asked_in_turn_and_silent_ones_last() {
     let (mut known, _) = follower(&boxes(9));
     let now = ms(1_000);
-    let (first, second) = (known.next(now).unwrap(), known.next(now).unwrap());
+    let (first, second) = (
+        known.next_reader(now).unwrap(),
+        known.next_reader(now).unwrap(),
+    );
     expect_that!(first, not(eq(&second)));
-    known.failed(&first, now);
+    known.record_failure(&first, now);
     for _ in 0..3 {
-        expect_that!(known.next(now), some(eq(&second)));
+        expect_that!(known.next_reader(now), some(eq(&second)));
     }
-    known.failed(&second, now);
-    expect_that!(known.next(now), none());
+    known.record_failure(&second, now);
+    expect_that!(known.next_reader(now), none());
     let later = now + Duration::from_secs(2);
-    expect_that!(known.next(later), some(anything()));
+    expect_that!(known.next_reader(later), some(anything()));
 }
 
 /// A follower as it starts, with a reader's address.
-fn starting(first_start: bool) -> (Readers, Arc<str>) {
+fn starting(first_start: bool) -> (Schedule, Arc<str>) {
     let listed = boxes(9);
-    let first = readers(&listed, "d")[0].address.clone();
+    let first = choose_readers(&listed, "d")[0].address.clone();
     let settings = Settings::new(Duration::from_secs(3), first_start);
-    let mut known = Readers::new(settings, ms(0));
+    let mut known = Schedule::new(settings, ms(0));
     known.set_boxes(&listed, "joined", "d");
     (known, first)
 }
@@ -106,38 +115,38 @@
 #[gtest]
 fn a_box_that_starts_gives_its_readers_a_moment_before_it_reads_by_itself() {
     let (mut known, reader) = starting(false);
-    expect_that!(known.pace(ms(100)), eq(Pace::Rest));
+    expect_that!(known.polling(ms(100)), eq(Polling::Paused));
     // They may be starting too: one that is not up yet is asked again soon.
-    known.failed(&reader, ms(100));
-    let again = (100..300).find(|at| known.next(ms(*at)) == Some(reader.clone()));
+    known.record_failure(&reader, ms(100));
+    let again = (100..300).find(|at| known.next_reader(ms(*at)) == Some(reader.clone()));
     expect_that!(again, some(lt(200)));
-    expect_that!(known.pace(ms(1_000)), eq(Pace::Calm));
-    known.heard(&reader, Some(ms(0)), ms(1_000));
-    expect_that!(known.pace(ms(1_100)), eq(Pace::Rest));
+    expect_that!(known.polling(ms(1_000)), eq(Polling::Normal));
+    known.record_answer(&reader, Some(ms(0)), ms(1_000));
+    expect_that!(known.polling(ms(1_100)), eq(Polling::Paused));
 }
 
 /// Nobody else would read for it.
 #[gtest]
 fn a_box_that_starts_reads_at_once_where_it_is_alone_or_a_reader_and_soon_where_it_knows_nobody() {
     let settings = Settings::new(Duration::from_secs(3), false);
-    let mut known = Readers::new(settings, ms(0));
-    expect_that!(known.pace(ms(10)), eq(Pace::Rest));
-    expect_that!(known.pace(ms(1_000)), eq(Pace::Calm));
+    let mut known = Schedule::new(settings, ms(0));
+    expect_that!(known.polling(ms(10)), eq(Polling::Paused));
+    expect_that!(known.polling(ms(1_000)), eq(Polling::Normal));
     known.set_boxes(&boxes(4), "b0", "d");
-    expect_that!(known.pace(ms(10)), eq(Pace::Calm));
-    let reader = readers(&boxes(9), "d")[0].name.clone();
+    expect_that!(known.polling(ms(10)), eq(Polling::Normal));
+    let reader = choose_readers(&boxes(9), "d")[0].name.clone();
     known.set_boxes(&boxes(9), &reader, "d");
-    expect_that!(known.pace(ms(10)), eq(Pace::Brisk));
+    expect_that!(known.polling(ms(10)), eq(Polling::Frequent));
 }
 
 /// Nobody is listed when a whole system starts for the first time.
 #[gtest]
 fn at_the_very_first_start_everybody_waits_for_the_list_to_fill() {
     let (mut known, reader) = starting(true);
-    known.heard(&reader, Some(ms(0)), ms(0));
+    known.record_answer(&reader, Some(ms(0)), ms(0));
     known.set_boxes(&boxes(4), "b0", "d");
-    expect_that!(known.pace(ms(1_000)), eq(Pace::Rest));
-    expect_that!(known.pace(ms(3_000)), eq(Pace::Calm));
+    expect_that!(known.polling(ms(1_000)), eq(Polling::Paused));
+    expect_that!(known.polling(ms(3_000)), eq(Polling::Normal));
 }
 
 /// What may pass between a change and its taking effect decides how old news may be.
@@ -148,10 +157,10 @@
             apply: ms(apply),
             ..Settings::default()
         };
-        let mut known = Readers::new(settings, ms(0));
+        let mut known = Schedule::new(settings, ms(0));
         known.set_boxes(&boxes(9), "joined", "d");
-        known.heard(&"r".into(), Some(ms(0)), ms(10_000));
-        expect_that!(known.pace(ms(10_000 + fresh)), eq(Pace::Rest));
-        expect_that!(known.pace(ms(10_000 + stale)), eq(Pace::Calm));
+        known.record_answer(&"r".into(), Some(ms(0)), ms(10_000));
+        expect_that!(known.polling(ms(10_000 + fresh)), eq(Polling::Paused));
+        expect_that!(known.polling(ms(10_000 + stale)), eq(Polling::Normal));
     }
 }
