--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use larkfall::borders::roster::Listing;
-use larkfall::borders::table::{RESOURCE, Revision, Row, Scan};
+use larkfall::borders::table::{RESOURCE_PREFIX, Revision, Row, Scan};
 use larkfall::decisions::owners::Ranking;
 use larkfall::events::{Format, logger};
 use larkfall::node::configuration::Store;
@@ -146,7 +146,7 @@
 
 fn row(key: &str, revision: u64, value: serde_json::Value) -> Row {
     Row {
-        key: format!("{RESOURCE}{key}").into(),
+        key: format!("{RESOURCE_PREFIX}{key}").into(),
         revision: revision.into(),
         value: Some(value),
     }
--- a/src/borders/member.rs
+++ b/src/borders/member.rs
@@ -51,7 +51,7 @@
     #[error("connection refused or reset")]
     Broken,
     #[error("no answer in time")]
-    Silent,
+    TimedOut,
     #[error("refused: its promised term is {promised}")]
     Fenced { promised: u64 },
     /// It answers, but has no time for this.
@@ -60,7 +60,7 @@
     #[error("not ordered: another box has taken the duty")]
     Superseded,
     #[error("answered nonsense: {0}")]
-    Nonsense(String),
+    InvalidAnswer(String),
 }
 
 /// On whose authority a member is promoted, where the platform wants to know.
@@ -74,14 +74,14 @@
 
 /// What a ballot asks of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bid {
+pub struct Fence {
     pub term: u64,
     /// The term that the ballot is to end; a member that has gone on to a later one is
     /// not fenced.
     pub replaced: u64,
     /// The highest promise known when the ballot began. Where members do not arbitrate,
     /// one that has promised more since is left to the ballot it did so for.
-    pub known: u64,
+    pub known_promise: u64,
 }
 
 /// Control half of a member: status, fence, promote, follow.
@@ -89,7 +89,7 @@
 pub trait Member {
     async fn status(&self) -> Result<Status, MemberError>;
     /// Takes the bid's term if it is strictly above the member's promised term.
-    async fn fence(&self, bid: &Bid) -> Result<Status, MemberError>;
+    async fn fence(&self, bid: &Fence) -> Result<Status, MemberError>;
     /// Makes the member primary of `term`, which it must have promised.
     /// `stands` is asked right before the order goes out, since what comes before
     /// takes time; without it nothing is ordered.
@@ -101,11 +101,11 @@
     ) -> Result<Status, MemberError>;
     async fn follow(&self, term: u64, primary: &Address) -> Result<Status, MemberError>;
     /// Takes back a fence that leads to nothing; does nothing where fences last.
-    async fn release(&self) -> Result<(), MemberError> {
+    async fn release_fence(&self) -> Result<(), MemberError> {
         Ok(())
     }
     /// Returns when the member's process is seen to be gone.
-    async fn gone(&self);
+    async fn wait_until_gone(&self);
 }
 
 /// Makes the control half of a declared member.
--- a/src/borders/roster.rs
+++ b/src/borders/roster.rs
@@ -24,7 +24,7 @@
 
 /// The list with a tag that changes when it does.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tagged {
+pub struct Listings {
     pub tag: String,
     /// Grows with each change and is the same for every box; the default where the platform
     /// does not tell.
@@ -37,25 +37,25 @@
 pub trait Roster {
     /// The list, or none when it is still the one of `tag`: with hundreds of
     /// boxes the whole list is too much for every look.
-    async fn boxes(&self, tag: &str) -> Result<Option<Tagged>, TableError>;
+    async fn boxes(&self, tag: &str) -> Result<Option<Listings>, TableError>;
     /// Whether the list was read at least once.
-    fn is_known(&self) -> bool {
+    fn is_loaded(&self) -> bool {
         true
     }
     /// Whether boxes list themselves.
-    fn is_kept_by_boxes(&self) -> bool {
+    fn is_self_registered(&self) -> bool {
         false
     }
     /// Whether the list names a box just so, as far as this box has read it.
-    fn lists(&self, _: &Listing) -> bool {
+    fn contains(&self, _: &Listing) -> bool {
         false
     }
     /// Puts this box on the list.
-    async fn enter(&self, _: &Listing) -> Result<(), TableError> {
+    async fn register(&self, _: &Listing) -> Result<(), TableError> {
         Ok(())
     }
     /// Takes a box off the list.
-    async fn leave(&self, _: &str) -> Result<(), TableError> {
+    async fn deregister(&self, _: &str) -> Result<(), TableError> {
         Ok(())
     }
 }
--- a/src/borders/table.rs
+++ b/src/borders/table.rs
@@ -14,7 +14,7 @@
 pub use revision::Revision;
 
 /// Prefix of rows that operators declare.
-pub const RESOURCE: &str = "resource/";
+pub const RESOURCE_PREFIX: &str = "resource/";
 /// What follows it for a member.
 const MEMBER: &str = "member/";
 
@@ -66,7 +66,7 @@
 
     /// The section of a row.
     pub fn of(key: &str) -> Self {
-        match key.strip_prefix(RESOURCE) {
+        match key.strip_prefix(RESOURCE_PREFIX) {
             Some(resource) if resource.starts_with(MEMBER) => Section::Members,
             Some(_) => Section::Declarations,
             None => Section::Records,
@@ -76,7 +76,7 @@
 
 /// Milliseconds since members said that they leave, by the rows' keys; none where whoever
 /// tells can't tell that.
-pub type Ages = BTreeMap<Arc<str>, Option<u64>>;
+pub type DepartureAges = BTreeMap<Arc<str>, Option<u64>>;
 
 /// Rows newer than a revision, in revision order.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -94,7 +94,7 @@
     pub same_as: Option<u64>,
     /// Of all members that leave, where a box answers.
     #[serde(default)]
-    pub ages: Ages,
+    pub ages: DepartureAges,
     /// Milliseconds since the rows were written, at the most, where the table answers; none
     /// where it can't tell.
     #[serde(default)]
@@ -105,9 +105,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TableError {
     #[error("the table gives no answer: {0}")]
-    Down(String),
+    Unavailable(String),
     #[error("the table answered nonsense: {0}")]
-    Nonsense(String),
+    InvalidAnswer(String),
 }
 
 /// How a box that waits for news reads the table.
@@ -142,19 +142,19 @@
     async fn commit(&self, commit: &Commit) -> Result<Verdict, TableError>;
     /// Returns when there may be something new: after `poll` where the table does
     /// not tell.
-    async fn news(&self, poll: Duration) {
+    async fn wait_for_changes(&self, poll: Duration) {
         tokio::time::sleep(poll).await;
     }
     /// Says how the table is to be read from now on, where waits for news have a price.
     fn set_polling(&self, _: Polling) {}
     /// Time since the table last answered; none while it rests, is down or does not
     /// tell.
-    fn heard(&self) -> Option<Duration> {
+    fn answer_age(&self) -> Option<Duration> {
         None
     }
     /// Whether rows become known in the order of their revisions. Where not, a
     /// revision does not say which rows somebody has.
-    fn is_ordered(&self) -> bool {
+    fn has_ordered_revisions(&self) -> bool {
         true
     }
 }
--- a/src/borders/table/revision.rs
+++ b/src/borders/table/revision.rs
@@ -35,7 +35,7 @@
     }
 
     /// A number that an operator gave out, which no copy of the table turns back.
-    pub fn counted(number: u64) -> Self {
+    pub fn from_operator(number: u64) -> Self {
         Self::new(COUNTED, number)
     }
 
--- a/src/borders/upstream.rs
+++ b/src/borders/upstream.rs
@@ -72,7 +72,7 @@
 
 /// Why a member did not run a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unrun {
+pub enum Rejection {
     /// It is not the primary.
     NotPrimary,
     /// Its log lacks the floor.
@@ -89,7 +89,7 @@
     Done,
     /// It ran, and the member reports an error.
     Failed,
-    Unrun(Unrun),
+    Rejection(Rejection),
 }
 
 /// A whole answer of a member.
@@ -109,9 +109,9 @@
     #[error("connection lost: {0}")]
     Lost(String),
     #[error("no answer in time")]
-    Late,
+    TimedOut,
     #[error("the member answered nonsense: {0}")]
-    Nonsense(String),
+    InvalidAnswer(String),
 }
 
 /// Why no connection could be made. Nothing was sent.
@@ -122,9 +122,9 @@
     #[error("the member takes no more connections: {0}")]
     Full(String),
     #[error("another member listens there: {0}")]
-    Stranger(String),
+    WrongMember(String),
     #[error("no connection in time")]
-    Late,
+    TimedOut,
 }
 
 /// How a request with a key ended.
@@ -133,11 +133,11 @@
     /// It ran now and is committed at this position.
     Ran(Answer),
     /// It had run before; this is the recorded answer.
-    Known(Answer),
+    Recorded(Answer),
     /// It failed in the database; its key is not taken.
     Failed(Answer),
     /// Nothing is known: try again.
-    Lost,
+    Unresolved,
 }
 
 /// An open connection to a member.
--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -31,7 +31,7 @@
 use super::position::Position;
 use super::replace::{Doubt, Replace, Step};
 use super::route::{Candidate, Demand, History, choose_member};
-use crate::borders::member::{Bid, MemberError, Role, Status};
+use crate::borders::member::{Fence, MemberError, Role, Status};
 use crate::declarations::resource::{Durability, Member as MemberSpec};
 use crate::declarations::snapshot::Plan;
 
@@ -334,11 +334,11 @@
     }
 
     /// What this owner's ballot of `term` asks of a member.
-    pub fn bid(&self, term: u64) -> Bid {
-        Bid {
+    pub fn bid(&self, term: u64) -> Fence {
+        Fence {
             term,
             replaced: self.replace.replaced(),
-            known: self.replace.known(),
+            known_promise: self.replace.known(),
         }
     }
 
--- a/src/node/api/resources.rs
+++ b/src/node/api/resources.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 
 use super::{Api, Shared, Work};
-use crate::borders::table::{Commit, RESOURCE, Revision, TableError, Verdict, Write};
+use crate::borders::table::{Commit, RESOURCE_PREFIX, Revision, TableError, Verdict, Write};
 use crate::declarations::check;
 use crate::declarations::entry::Entry;
 use crate::declarations::finding::Finding;
@@ -386,7 +386,7 @@
             .get(&change.key)
             .map_or(Revision::NONE, |s| s.revision);
         Write {
-            key: format!("{RESOURCE}{}", change.key).into(),
+            key: format!("{RESOURCE_PREFIX}{}", change.key).into(),
             expect: Some(change.version.unwrap_or(known)),
             value: change.spec.as_ref().map(|spec| json!(spec)),
         }
@@ -400,7 +400,7 @@
     let _ = api.work.send(Work::Commit(commit, reply));
     let verdict = answer
         .await
-        .unwrap_or(Err(TableError::Down("stopping".to_owned())));
+        .unwrap_or(Err(TableError::Unavailable("stopping".to_owned())));
     match verdict {
         Ok(Verdict::Done(revision)) => {
             let _ = api.keeper.send(configuration::Request::Poll);
@@ -411,7 +411,7 @@
             Ok(Json(json!({ "revision": revision })))
         }
         Ok(Verdict::Conflict { key, found }) => {
-            let key = key.strip_prefix(RESOURCE).and_then(Key::parse);
+            let key = key.strip_prefix(RESOURCE_PREFIX).and_then(Key::parse);
             let change = changes
                 .iter()
                 .find(|change| Some(&change.key) == key.as_ref());
@@ -459,7 +459,7 @@
         .rows
         .iter()
         .filter_map(|row| {
-            let key = row.key.strip_prefix(RESOURCE).and_then(Key::parse)?;
+            let key = row.key.strip_prefix(RESOURCE_PREFIX).and_then(Key::parse)?;
             caller.may(&key).then(|| {
                 json!({
                     "key": key.to_string(),
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -154,7 +154,7 @@
         let table = self.context.table.clone();
         loop {
             self.poll().await;
-            let news = table.news(self.jittered());
+            let news = table.wait_for_changes(self.jittered());
             tokio::pin!(news);
             loop {
                 tokio::select! {
@@ -179,7 +179,7 @@
         let scan = self.store.follow(state.digest, told.map(|told| told.taken));
         let scan = self.with_ages(scan);
         let newer = self.boxes_revision > state.boxes;
-        let heard = self.context.table.heard();
+        let heard = self.context.table.answer_age();
         Answer {
             cursor,
             scan,
@@ -201,7 +201,7 @@
     }
 
     fn question(&self) -> Question {
-        let since = match self.context.table.is_ordered() {
+        let since = match self.context.table.has_ordered_revisions() {
             true => self.store.revision(),
             false => Revision::NONE,
         };
@@ -233,7 +233,7 @@
     }
 
     async fn poll(&mut self) {
-        if !self.context.table.is_ordered() {
+        if !self.context.table.has_ordered_revisions() {
             // What one source told counts, whatever becomes of the others; and without
             // an order a row may be new although the head is not.
             self.fetch().await;
@@ -345,7 +345,7 @@
     /// How long ago news was written at the most; none where nobody can tell.
     fn lag(&self, origin: &Origin, scan: &Scan) -> Option<Duration> {
         match origin {
-            Origin::Table if self.context.table.is_ordered() => {
+            Origin::Table if self.context.table.has_ordered_revisions() => {
                 self.looked.map(|looked| self.context.now() - looked)
             }
             Origin::Table => scan.lag_ms.map(Duration::from_millis),
@@ -364,7 +364,10 @@
     /// Asks others, once, what they know that the table does not: it may be an older copy of
     /// itself when a box starts, which has known nothing newer.
     fn compare(&mut self) {
-        if self.compared || self.context.settings.first_start || self.context.table.is_ordered() {
+        if self.compared
+            || self.context.settings.first_start
+            || self.context.table.has_ordered_revisions()
+        {
             return;
         }
         if !self.store.whole().contains_key(&Section::Declarations) {
@@ -433,7 +436,7 @@
     }
 
     fn news(&mut self, news: News) {
-        if news.scan.head <= self.store.revision() && self.context.table.is_ordered() {
+        if news.scan.head <= self.store.revision() && self.context.table.has_ordered_revisions() {
             return;
         }
         let origin = Origin::Peer(news.from.clone());
--- a/src/node/configuration/departures.rs
+++ b/src/node/configuration/departures.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::borders::table::{Ages, RESOURCE, Revision};
+use crate::borders::table::{DepartureAges, RESOURCE_PREFIX, Revision};
 use crate::decisions::departure::Departure;
 use crate::declarations::resource::{Key, Member};
 use crate::declarations::snapshot::{Manner, Snapshot};
@@ -65,7 +65,7 @@
     pub fn take(
         &mut self,
         (before, snapshot): (&Snapshot, &Snapshot),
-        told: &Ages,
+        told: &DepartureAges,
         lag: Option<Duration>,
         now: Duration,
     ) -> Vec<(Key, Manner)> {
@@ -94,7 +94,7 @@
 
     /// Takes ages that another box has told, where this one has none or a younger one: it may
     /// have heard a word only when that was written again. Whether any was.
-    pub fn learn(&mut self, told: &Ages, now: Duration) -> bool {
+    pub fn learn(&mut self, told: &DepartureAges, now: Duration) -> bool {
         let mut learned = false;
         for (key, known) in &mut self.known {
             let Some(age) = told.get(&row_key(key)).copied().flatten() else {
@@ -117,7 +117,7 @@
     }
 
     /// Ages by row, for a peer.
-    pub fn ages(&self, now: Duration) -> Ages {
+    pub fn ages(&self, now: Duration) -> DepartureAges {
         let age = |known: &Departed| known.departure.age(now).map(|age| age.as_millis() as u64);
         let known = self.known.iter();
         known
@@ -133,5 +133,5 @@
 }
 
 fn row_key(key: &Key) -> Arc<str> {
-    format!("{RESOURCE}{key}").into()
+    format!("{RESOURCE_PREFIX}{key}").into()
 }
--- a/src/node/configuration/store.rs
+++ b/src/node/configuration/store.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::PRIMARY;
-use crate::borders::table::{RESOURCE, Revision, Row, Scan, Section};
+use crate::borders::table::{RESOURCE_PREFIX, Revision, Row, Scan, Section};
 use crate::decisions::duty::Duty;
 use crate::declarations::check;
 use crate::declarations::entry::Entry;
@@ -180,7 +180,7 @@
             self.duties.extend(duty.map(|duty| (group.into(), duty)));
             return told.map(|_| ());
         }
-        let key = row.key.strip_prefix(RESOURCE).and_then(Key::parse);
+        let key = row.key.strip_prefix(RESOURCE_PREFIX).and_then(Key::parse);
         let key = key.ok_or("unknown kind of row")?;
         self.resources.remove(&key);
         let Some(value) = &row.value else {
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -315,7 +315,7 @@
     border: Rc<dyn Member>,
 ) {
     loop {
-        border.gone().await;
+        border.wait_until_gone().await;
         context.tell(&group, incarnation, Event::Broken { member });
         tokio::time::sleep(GONE_RETRY).await;
     }
--- a/src/node/driver/acting.rs
+++ b/src/node/driver/acting.rs
@@ -99,7 +99,7 @@
                 let border = owned.members[member].clone();
                 self.spawn(id, async move {
                     // Whether it worked shows in the next report.
-                    let _ = border.release().await;
+                    let _ = border.release_fence().await;
                     Event::Look
                 });
             }
--- a/src/node/once.rs
+++ b/src/node/once.rs
@@ -39,7 +39,7 @@
         let member = place.grant.member;
         let incarnation = place.grant.incarnation;
         let keyed = match owner.connect(&place, exchange).await {
-            Err(_) => Keyed::Lost,
+            Err(_) => Keyed::Unresolved,
             Ok(connection) => {
                 sent = true;
                 attempt(owner, &place, connection, exchange, key).await
@@ -49,8 +49,8 @@
         let (answer, server) = match keyed {
             Keyed::Failed(answer) => return Ok(reply(answer, Server::Primary, true)),
             Keyed::Ran(answer) => (Some(answer), Server::Primary),
-            Keyed::Known(answer) => (Some(answer), Server::Ledger),
-            Keyed::Lost => (None, Server::Primary),
+            Keyed::Recorded(answer) => (Some(answer), Server::Ledger),
+            Keyed::Unresolved => (None, Server::Primary),
         };
         if let Some(answer) = answer {
             let Some(position) = answer.position else {
@@ -96,13 +96,13 @@
     let task = exchange.task(None);
     let done = tokio::select! {
         done = connection.run_keyed(&task, key) => done,
-        () = replaced => return Keyed::Lost,
+        () = replaced => return Keyed::Unresolved,
     };
     match done {
         Ok(keyed) => {
             owner.pool.put(&place.grant.spec, connection);
             keyed
         }
-        Err(_) => Keyed::Lost,
+        Err(_) => Keyed::Unresolved,
     }
 }
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -14,7 +14,7 @@
 use super::once;
 use super::place::{Lease, Place};
 use super::pool::{Pool, Pooled};
-use crate::borders::upstream::{Answer, ConnectError, Unrun, UpstreamError, Verdict};
+use crate::borders::upstream::{Answer, ConnectError, Rejection, UpstreamError, Verdict};
 use crate::decisions::budget::Budget;
 use crate::decisions::confirm::Outcome;
 use crate::decisions::group::{Event, Reason, Refusal, Target, Via};
@@ -159,12 +159,12 @@
     }
 
     /// Gives back a connection whose statement did not run, and says why.
-    fn take_back(&self, lease: Lease, why: Unrun) {
+    fn take_back(&self, lease: Lease, why: Rejection) {
         let member = lease.place.grant.member;
         match why {
-            Unrun::Lagging => lease.place.tell(Event::Behind { member }),
-            Unrun::Busy => lease.place.tell(Event::Full { member }),
-            Unrun::NotPrimary | Unrun::NotPrepared => lease.place.tell(Event::Look),
+            Rejection::Lagging => lease.place.tell(Event::Behind { member }),
+            Rejection::Busy => lease.place.tell(Event::Full { member }),
+            Rejection::NotPrimary | Rejection::NotPrepared => lease.place.tell(Event::Look),
         }
         self.pool.put(&lease.place.grant.spec, lease.connection);
     }
@@ -224,8 +224,8 @@
             let member = place.grant.member;
             match error {
                 ConnectError::Lost(_) => place.tell(Event::Broken { member }),
-                ConnectError::Late => place.tell(Event::Unreached { member }),
-                ConnectError::Stranger(_) => place.tell(Event::Look),
+                ConnectError::TimedOut => place.tell(Event::Unreached { member }),
+                ConnectError::WrongMember(_) => place.tell(Event::Look),
                 ConnectError::Full(_) => place.tell(Event::Full { member }),
             }
             let fields: [(_, &dyn std::fmt::Display); 3] = [
@@ -287,9 +287,9 @@
         let ended = tokio::select! {
             answer = connection.run(&task) => answer,
             () = given_up(&mut place.grant) => {
-                Err(UpstreamError::Nonsense("replaced or silent".to_owned()))
+                Err(UpstreamError::InvalidAnswer("replaced or silent".to_owned()))
             }
-            () = late => Err(UpstreamError::Late),
+            () = late => Err(UpstreamError::TimedOut),
         };
         match ended {
             Ok(answer) => {
@@ -324,8 +324,8 @@
         let after = self.context.now() - began;
         match error {
             UpstreamError::Lost(_) => place.tell(Event::Broken { member }),
-            UpstreamError::Late => place.tell(Event::Late { member, after }),
-            UpstreamError::Nonsense(_) => {}
+            UpstreamError::TimedOut => place.tell(Event::Late { member, after }),
+            UpstreamError::InvalidAnswer(_) => {}
         }
         let after = after.as_millis();
         let fields: [(_, &dyn std::fmt::Display); 5] = [
@@ -480,7 +480,7 @@
         let wrote = lease.wrote;
         loop {
             match self.run(&mut lease, exchange).await {
-                Ok(answer) if answer.verdict == Verdict::Unrun(Unrun::Busy) => {
+                Ok(answer) if answer.verdict == Verdict::Rejection(Rejection::Busy) => {
                     if self.again(deadline, PAUSE).await.is_err() {
                         self.roll_back(lease);
                         return Err(Failure::TransactionLost);
@@ -562,12 +562,12 @@
 }
 
 /// Why a statement did not run, where another member may run it.
-fn unrun(answer: &Answer, exchange: &Exchange) -> Option<Unrun> {
-    let Verdict::Unrun(why) = answer.verdict else {
+fn unrun(answer: &Answer, exchange: &Exchange) -> Option<Rejection> {
+    let Verdict::Rejection(why) = answer.verdict else {
         return None;
     };
     let reads = matches!(exchange.target, Target::Replica { .. });
-    let theirs = why == Unrun::NotPrimary && reads;
+    let theirs = why == Rejection::NotPrimary && reads;
     let ended = answer.status == Some(Status::Idle);
     (ended && !theirs).then_some(why)
 }
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -268,7 +268,7 @@
 /// Puts this box on the list, where boxes list themselves, and again whenever the list has
 /// lost it: the table may come back as a copy from before.
 async fn enter(context: Rc<Context>) {
-    if !context.roster.is_kept_by_boxes() {
+    if !context.roster.is_self_registered() {
         return;
     }
     let listing = Listing {
@@ -280,10 +280,10 @@
     };
     // The list as it stood before this start tells whether others know this box. At the
     // very first start it is empty, and fills while boxes wait to read it.
-    while !context.settings.first_start && !context.roster.is_known() {
+    while !context.settings.first_start && !context.roster.is_loaded() {
         tokio::time::sleep(ENTER_LOOK).await;
     }
-    if !context.roster.lists(&listing) {
+    if !context.roster.contains(&listing) {
         put_on_list(&context, &listing).await;
     }
     let mut boxes = context.boxes.clone();
@@ -302,7 +302,7 @@
 
 async fn put_on_list(context: &Context, listing: &Listing) {
     while !*context.leaving.borrow() {
-        let Err(error) = context.roster.enter(listing).await else {
+        let Err(error) = context.roster.register(listing).await else {
             return;
         };
         events::emit(&context.log, &events::NOT_LISTED, &[("error", &error)]);
@@ -311,7 +311,7 @@
 }
 
 async fn leave(context: Rc<Context>) {
-    let left = context.roster.leave(&context.settings.name);
+    let left = context.roster.deregister(&context.settings.name);
     match tokio::time::timeout(LEAVE_WAIT, left).await {
         Ok(Ok(())) => {}
         Ok(Err(error)) => {
@@ -380,7 +380,7 @@
 
 /// Commits, asking again with the same nonce when the answer is lost.
 async fn committed(table: &dyn Table, commit: &Commit) -> Result<Verdict, TableError> {
-    let mut last = Err(TableError::Down("not asked".to_owned()));
+    let mut last = Err(TableError::Unavailable("not asked".to_owned()));
     for _ in 0..COMMIT_TRIES {
         last = table.commit(commit).await;
         if last.is_ok() {
--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -13,8 +13,8 @@
 
 use super::upstream::OWN;
 use super::words::position;
-use crate::borders::member::{Bid, Member, MemberError, Members, Order, Role, Status, Stream};
-use crate::borders::upstream::{ConnectError, Task, Unrun, UpstreamError, Verdict};
+use crate::borders::member::{Fence, Member, MemberError, Members, Order, Role, Status, Stream};
+use crate::borders::upstream::{ConnectError, Rejection, Task, UpstreamError, Verdict};
 use crate::decisions::position::Position;
 use crate::declarations::resource::{Address, Member as Declared};
 use crate::http::{Call, Client};
@@ -59,7 +59,7 @@
 impl Control {
     async fn ask(&self, text: &str) -> Result<Status, MemberError> {
         let asked = tokio::time::timeout(ANSWER_WAIT, self.exchange(text)).await;
-        asked.map_err(|_| MemberError::Silent)?
+        asked.map_err(|_| MemberError::TimedOut)?
     }
 
     async fn exchange(&self, text: &str) -> Result<Status, MemberError> {
@@ -80,8 +80,8 @@
         self.pool.put(&self.member, connection);
         match answer.verdict {
             Verdict::Done => report(&lines, applied),
-            Verdict::Unrun(Unrun::Busy) => Err(MemberError::Busy),
-            _ => Err(MemberError::Nonsense(lines)),
+            Verdict::Rejection(Rejection::Busy) => Err(MemberError::Busy),
+            _ => Err(MemberError::InvalidAnswer(lines)),
         }
     }
 
@@ -103,7 +103,7 @@
         let answered = self.client.call(call).await;
         answered
             .map(|_| ())
-            .map_err(|error| MemberError::Nonsense(error.to_string()))
+            .map_err(|error| MemberError::InvalidAnswer(error.to_string()))
     }
 }
 
@@ -111,22 +111,22 @@
     match error {
         ConnectError::Lost(_) => MemberError::Broken,
         ConnectError::Full(_) => MemberError::Busy,
-        ConnectError::Late => MemberError::Silent,
-        ConnectError::Stranger(why) => MemberError::Nonsense(why),
+        ConnectError::TimedOut => MemberError::TimedOut,
+        ConnectError::WrongMember(why) => MemberError::InvalidAnswer(why),
     }
 }
 
 fn lost(error: UpstreamError) -> MemberError {
     match error {
         UpstreamError::Lost(_) => MemberError::Broken,
-        UpstreamError::Late => MemberError::Silent,
-        UpstreamError::Nonsense(why) => MemberError::Nonsense(why),
+        UpstreamError::TimedOut => MemberError::TimedOut,
+        UpstreamError::InvalidAnswer(why) => MemberError::InvalidAnswer(why),
     }
 }
 
 /// Reads a status row: role, term, position received, term held, lag, busy, connections.
 pub fn report(lines: &str, applied: Option<Position>) -> Result<Status, MemberError> {
-    let nonsense = || MemberError::Nonsense(lines.to_owned());
+    let nonsense = || MemberError::InvalidAnswer(lines.to_owned());
     let row = lines.strip_prefix("DATA ").ok_or_else(nonsense)?;
     let words: Vec<&str> = row.split_whitespace().collect();
     let [role, term, received, held, ..] = words[..] else {
@@ -160,10 +160,10 @@
         self.ask("STATUS").await
     }
 
-    async fn fence(&self, bid: &Bid) -> Result<Status, MemberError> {
+    async fn fence(&self, bid: &Fence) -> Result<Status, MemberError> {
         let term = bid.term;
         let known = self.status().await?;
-        if known.log.term > bid.replaced || known.promised > bid.known.max(bid.replaced) {
+        if known.log.term > bid.replaced || known.promised > bid.known_promise.max(bid.replaced) {
             let promised = known.promised;
             return Err(MemberError::Fenced { promised });
         }
@@ -176,7 +176,7 @@
                 promised: term,
                 ..status
             }),
-            Err(MemberError::Nonsense(_)) => {
+            Err(MemberError::InvalidAnswer(_)) => {
                 let promised = self.status().await?.promised;
                 Err(MemberError::Fenced { promised })
             }
@@ -210,13 +210,13 @@
                 return Ok(status);
             }
             // Without an answer the order may have been carried out.
-            if let Err(MemberError::Nonsense(why)) = &ordered
+            if let Err(MemberError::InvalidAnswer(why)) = &ordered
                 && why.starts_with("status 4")
             {
-                return Err(MemberError::Nonsense(why.clone()));
+                return Err(MemberError::InvalidAnswer(why.clone()));
             }
         }
-        Err(MemberError::Silent)
+        Err(MemberError::TimedOut)
     }
 
     async fn follow(&self, term: u64, _: &Address) -> Result<Status, MemberError> {
@@ -228,11 +228,11 @@
         Ok(status)
     }
 
-    async fn release(&self) -> Result<(), MemberError> {
+    async fn release_fence(&self) -> Result<(), MemberError> {
         self.ask("RESUME").await.map(|_| ())
     }
 
-    async fn gone(&self) {
+    async fn wait_until_gone(&self) {
         // Statements run on every member all the time and see it first.
         std::future::pending().await
     }
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 use super::store::{Change, Rows, Store, StoreError};
-use crate::borders::roster::{Listing, Roster, Tagged};
+use crate::borders::roster::{Listing, Listings, Roster};
 use crate::borders::table::{Commit, Polling, Revision, Scan, Table, TableError, Verdict, Write};
 use crate::events;
 use crate::metrics::Metrics;
@@ -321,8 +321,8 @@
 
 fn down(error: StoreError) -> TableError {
     match error {
-        StoreError::Nonsense(why) => TableError::Nonsense(why),
-        other => TableError::Down(other.to_string()),
+        StoreError::Nonsense(why) => TableError::InvalidAnswer(why),
+        other => TableError::Unavailable(other.to_string()),
     }
 }
 
@@ -332,14 +332,16 @@
         let all = self.pace() == Polling::Paused || self.read.get() >= Source::ALL.len();
         match self.is_up() && all {
             true => Ok(self.cache.borrow().head()),
-            false => Err(TableError::Down("the store gives no answer".to_owned())),
+            false => Err(TableError::Unavailable(
+                "the store gives no answer".to_owned(),
+            )),
         }
     }
 
     async fn scan(&self, _: Revision) -> Result<Scan, TableError> {
         let told = self.cache.borrow_mut().tell();
         // Members without databases would be taken for all there is.
-        told.ok_or_else(|| TableError::Down("the manifest was not read yet".to_owned()))
+        told.ok_or_else(|| TableError::Unavailable("the manifest was not read yet".to_owned()))
     }
 
     async fn commit(&self, commit: &Commit) -> Result<Verdict, TableError> {
@@ -368,7 +370,7 @@
         }
     }
 
-    async fn news(&self, _: Duration) {
+    async fn wait_for_changes(&self, _: Duration) {
         if self.is_up() {
             return self.changed.notified().await;
         }
@@ -390,13 +392,13 @@
         }
     }
 
-    fn heard(&self) -> Option<Duration> {
+    fn answer_age(&self) -> Option<Duration> {
         let reads = self.is_up() && self.pace() != Polling::Paused;
         let heard = self.heard.get().filter(|_| reads)?;
         Some(heard.elapsed())
     }
 
-    fn is_ordered(&self) -> bool {
+    fn has_ordered_revisions(&self) -> bool {
         false
     }
 }
@@ -441,29 +443,29 @@
 
 #[async_trait(?Send)]
 impl Roster for Mirror {
-    async fn boxes(&self, tag: &str) -> Result<Option<Tagged>, TableError> {
+    async fn boxes(&self, tag: &str) -> Result<Option<Listings>, TableError> {
         let listed = self.cache.borrow().listed();
         Ok((tag != listed.tag).then_some(listed))
     }
 
-    fn is_known(&self) -> bool {
+    fn is_loaded(&self) -> bool {
         self.listed.get()
     }
 
-    fn is_kept_by_boxes(&self) -> bool {
+    fn is_self_registered(&self) -> bool {
         true
     }
 
-    fn lists(&self, listing: &Listing) -> bool {
+    fn contains(&self, listing: &Listing) -> bool {
         self.cache.borrow().lists(listing)
     }
 
-    async fn enter(&self, listing: &Listing) -> Result<(), TableError> {
+    async fn register(&self, listing: &Listing) -> Result<(), TableError> {
         let value = serde_json::to_vec(listing).expect("a listing is plain data");
         self.list(&listing.name, Some(value)).await
     }
 
-    async fn leave(&self, name: &str) -> Result<(), TableError> {
+    async fn deregister(&self, name: &str) -> Result<(), TableError> {
         self.list(name, None).await
     }
 }
--- a/src/platform/table/cache.rs
+++ b/src/platform/table/cache.rs
@@ -8,8 +8,8 @@
 use tokio::time::Instant;
 
 use super::source::Source;
-use crate::borders::roster::{Listing, Tagged};
-use crate::borders::table::{RESOURCE, Revision, Row, Scan, Section};
+use crate::borders::roster::{Listing, Listings};
+use crate::borders::table::{RESOURCE_PREFIX, Revision, Row, Scan, Section};
 use crate::events;
 use crate::platform::manifest::{Declarations, Manifest};
 use crate::platform::members;
@@ -106,14 +106,14 @@
     /// As of when a section is known.
     fn known_at(&self, section: Section) -> Revision {
         match section {
-            Section::Declarations => Revision::counted(self.manifest.unwrap_or_default()),
+            Section::Declarations => Revision::from_operator(self.manifest.unwrap_or_default()),
             Section::Members | Section::Records => self.read[&section],
         }
     }
 
     /// The list of boxes.
-    pub fn listed(&self) -> Tagged {
-        Tagged {
+    pub fn listed(&self) -> Listings {
+        Listings {
             tag: self.roster.to_string(),
             revision: self.roster,
             boxes: self.boxes.values().cloned().collect(),
@@ -230,7 +230,7 @@
         let declared = |key: &str| Section::of(key) == Section::Declarations;
         // Known by the operator's own count: an older copy of the store turns back the store's,
         // and would bring back what was removed.
-        let revision = Revision::counted(version);
+        let revision = Revision::from_operator(version);
         self.declare(declared, rows_of(manifest.declarations()), revision);
     }
 
@@ -326,6 +326,6 @@
 }
 
 fn rows_of(declared: Declarations) -> BTreeMap<Arc<str>, Value> {
-    let row = |(key, value)| (Arc::from(format!("{RESOURCE}{key}")), value);
+    let row = |(key, value)| (Arc::from(format!("{RESOURCE_PREFIX}{key}")), value);
     declared.into_iter().map(row).collect()
 }
--- a/src/platform/upstream.rs
+++ b/src/platform/upstream.rs
@@ -11,7 +11,7 @@
 use super::line::{Channel, LineError};
 use super::words::{position, position_text, word};
 use crate::borders::upstream::{
-    Answer, Begin, ConnectError, Dialer, Keyed, Status, Task, Unrun, Upstream, UpstreamError,
+    Answer, Begin, ConnectError, Dialer, Keyed, Rejection, Status, Task, Upstream, UpstreamError,
     Verdict,
 };
 use crate::decisions::position::Position;
@@ -39,7 +39,7 @@
     ) -> Result<Box<dyn Upstream>, ConnectError> {
         let opened = Connection::open(self.from, member, workspace.unwrap_or(NOBODY));
         let opened = tokio::time::timeout(self.wait, opened).await;
-        Ok(Box::new(opened.map_err(|_| ConnectError::Late)??))
+        Ok(Box::new(opened.map_err(|_| ConnectError::TimedOut)??))
     }
 }
 
@@ -84,7 +84,7 @@
                 Ok(connection)
             }
             "ERROR" if rest.starts_with("WRONGNODE") => {
-                Err(ConnectError::Stranger(rest.to_owned()))
+                Err(ConnectError::WrongMember(rest.to_owned()))
             }
             "ERROR" => Err(ConnectError::Full(rest.to_owned())),
             _ => Err(lost(&format!("answered {line:?}"))),
@@ -97,7 +97,7 @@
             "I" => Status::Idle,
             "T" => Status::Transaction,
             "E" => Status::Failed,
-            _ => return Err(UpstreamError::Nonsense(format!("state {state:?}"))),
+            _ => return Err(UpstreamError::InvalidAnswer(format!("state {state:?}"))),
         };
         self.position = position(at).or(self.position);
         Ok(())
@@ -129,7 +129,7 @@
                     ended = true;
                     reply.error = Some(word(rest).0.to_owned());
                 }
-                _ => return Err(UpstreamError::Nonsense(format!("answered {line:?}"))),
+                _ => return Err(UpstreamError::InvalidAnswer(format!("answered {line:?}"))),
             }
             reply.lines.push_str(&line);
             reply.lines.push_str("\r\n");
@@ -163,10 +163,10 @@
     fn typed(&self, reply: Reply) -> Answer {
         let verdict = match reply.error.as_deref() {
             None => Verdict::Done,
-            Some("READONLY") => Verdict::Unrun(Unrun::NotPrimary),
-            Some("LAGGING") => Verdict::Unrun(Unrun::Lagging),
-            Some("RETRY" | "OVERLOAD") => Verdict::Unrun(Unrun::Busy),
-            Some("NOSTMT") => Verdict::Unrun(Unrun::NotPrepared),
+            Some("READONLY") => Verdict::Rejection(Rejection::NotPrimary),
+            Some("LAGGING") => Verdict::Rejection(Rejection::Lagging),
+            Some("RETRY" | "OVERLOAD") => Verdict::Rejection(Rejection::Busy),
+            Some("NOSTMT") => Verdict::Rejection(Rejection::NotPrepared),
             Some(_) => Verdict::Failed,
         };
         Answer {
@@ -194,7 +194,7 @@
             }
         }
         let payload = std::str::from_utf8(task.payload)
-            .map_err(|error| UpstreamError::Nonsense(error.to_string()))?;
+            .map_err(|error| UpstreamError::InvalidAnswer(error.to_string()))?;
         let (id, text) = word(payload);
         // Inside a transaction its BEGIN has named the floor.
         let outside = self.status == Status::Idle && !begun;
@@ -223,7 +223,7 @@
     fn from(error: LineError) -> Self {
         match error {
             LineError::Io(_) | LineError::Closed => UpstreamError::Lost(error.to_string()),
-            _ => UpstreamError::Nonsense(error.to_string()),
+            _ => UpstreamError::InvalidAnswer(error.to_string()),
         }
     }
 }
@@ -240,7 +240,7 @@
 
     async fn run_keyed(&mut self, _: &Task<'_>, _: &str) -> Result<Keyed, UpstreamError> {
         let why = "members that speak lines keep no ledger of keys";
-        Err(UpstreamError::Nonsense(why.to_owned()))
+        Err(UpstreamError::InvalidAnswer(why.to_owned()))
     }
 
     async fn roll_back(&mut self) -> Result<(), UpstreamError> {
--- a/src/postgres/connection.rs
+++ b/src/postgres/connection.rs
@@ -43,7 +43,7 @@
     ) -> Result<Box<dyn Upstream>, ConnectError> {
         let opened = Connection::open(self.from, &member.address.sql);
         let opened = tokio::time::timeout(self.wait, opened).await;
-        Ok(Box::new(opened.map_err(|_| ConnectError::Late)??))
+        Ok(Box::new(opened.map_err(|_| ConnectError::TimedOut)??))
     }
 }
 
@@ -117,14 +117,14 @@
     fn from(error: ChannelError) -> Self {
         match error {
             ChannelError::Io(_) | ChannelError::Closed => UpstreamError::Lost(error.to_string()),
-            _ => UpstreamError::Nonsense(error.to_string()),
+            _ => UpstreamError::InvalidAnswer(error.to_string()),
         }
     }
 }
 
 fn opened(task: &Task<'_>) -> Result<Steps, UpstreamError> {
     let steps = Steps::from_payload(task.payload);
-    steps.map_err(|error| UpstreamError::Nonsense(error.to_string()))
+    steps.map_err(|error| UpstreamError::InvalidAnswer(error.to_string()))
 }
 
 #[async_trait(?Send)]
--- a/src/postgres/ledger.rs
+++ b/src/postgres/ledger.rs
@@ -39,7 +39,7 @@
         let position = connection.query("ROLLBACK").await?.position;
         return match known {
             true => recorded(connection, key, position).await,
-            false => Ok(Keyed::Lost),
+            false => Ok(Keyed::Unresolved),
         };
     }
     let answer = relay::run(connection, &request.steps, request.close).await?;
@@ -63,7 +63,7 @@
             let messages = answer.messages.freeze();
             Ok(Keyed::Ran(plain(messages, Verdict::Done, Some(position))))
         }
-        _ => Ok(Keyed::Lost),
+        _ => Ok(Keyed::Unresolved),
     }
 }
 
@@ -80,17 +80,21 @@
     );
     let mut found = connection.query(&select).await?;
     let Some(bytes) = first_cell(&mut found.messages)? else {
-        return Ok(Keyed::Lost);
+        return Ok(Keyed::Unresolved);
     };
     let position = match found.position.or(position) {
         Some(position) => Some(position),
         None => fresh_position(connection).await?,
     };
     let Some(position) = position else {
-        return Ok(Keyed::Lost);
+        return Ok(Keyed::Unresolved);
     };
     let messages = Bytes::from(bytes);
-    Ok(Keyed::Known(plain(messages, Verdict::Done, Some(position))))
+    Ok(Keyed::Recorded(plain(
+        messages,
+        Verdict::Done,
+        Some(position),
+    )))
 }
 
 /// Makes the member tell its position, by a write that changes nothing.
--- a/src/postgres/relay.rs
+++ b/src/postgres/relay.rs
@@ -12,7 +12,7 @@
 use super::connection::Connection;
 use super::report;
 use super::steps::{Close, Expect, Statement, Step};
-use crate::borders::upstream::{self, Status, Unrun, Verdict};
+use crate::borders::upstream::{self, Rejection, Status, Verdict};
 use crate::decisions::position::Position;
 
 /// SQLSTATE of a member that is not the primary and takes no write.
@@ -37,7 +37,7 @@
         let idle = self.status == Some(Status::Idle);
         let verdict = match self.error.as_deref() {
             None => Verdict::Done,
-            Some(READ_ONLY) if idle => Verdict::Unrun(Unrun::NotPrimary),
+            Some(READ_ONLY) if idle => Verdict::Rejection(Rejection::NotPrimary),
             Some(_) => Verdict::Failed,
         };
         upstream::Answer {
--- a/src/standin/control.rs
+++ b/src/standin/control.rs
@@ -19,7 +19,7 @@
 
 use super::faults::{Faults, Gate};
 use super::member::{Batch, Member};
-use crate::borders::member::Bid;
+use crate::borders::member::Fence;
 use crate::borders::member::{Member as Border, MemberError, Members, Order, Status, Stream};
 use crate::declarations::resource::{Address, Member as Declared};
 use crate::http::{Client, HttpError};
@@ -131,14 +131,14 @@
             .post(&self.address.control, "/control", body, wait);
         let bytes = sent.await.map_err(|error| match error {
             HttpError::Unsent(_) | HttpError::Broken(_) => MemberError::Broken,
-            HttpError::Late => MemberError::Silent,
-            HttpError::Status { code, .. } => MemberError::Nonsense(format!("status {code}")),
+            HttpError::Late => MemberError::TimedOut,
+            HttpError::Status { code, .. } => MemberError::InvalidAnswer(format!("status {code}")),
         })?;
         let reply = rmp_serde::from_slice(&bytes)
-            .map_err(|error| MemberError::Nonsense(error.to_string()))?;
+            .map_err(|error| MemberError::InvalidAnswer(error.to_string()))?;
         match reply {
             Reply::Fenced { promised } => Err(MemberError::Fenced { promised }),
-            Reply::Failed(why) => Err(MemberError::Nonsense(why)),
+            Reply::Failed(why) => Err(MemberError::InvalidAnswer(why)),
             other => Ok(other),
         }
     }
@@ -146,7 +146,7 @@
     async fn status_of(&self, request: &Request) -> Result<Status, MemberError> {
         match self.call(request, ANSWER_WAIT).await? {
             Reply::Status(status) => Ok(status),
-            _ => Err(MemberError::Nonsense("not a status".to_owned())),
+            _ => Err(MemberError::InvalidAnswer("not a status".to_owned())),
         }
     }
 }
@@ -157,7 +157,7 @@
         self.status_of(&Request::Status).await
     }
 
-    async fn fence(&self, bid: &Bid) -> Result<Status, MemberError> {
+    async fn fence(&self, bid: &Fence) -> Result<Status, MemberError> {
         let term = bid.term;
         self.status_of(&Request::Fence { term }).await
     }
@@ -176,7 +176,7 @@
         self.status_of(&Request::Follow { term, primary }).await
     }
 
-    async fn gone(&self) {
+    async fn wait_until_gone(&self) {
         let Ok(address) = self.address.control.parse::<SocketAddr>() else {
             return;
         };
--- a/src/standin/member.rs
+++ b/src/standin/member.rs
@@ -434,5 +434,5 @@
 }
 
 fn nonsense(fault: Fault) -> MemberError {
-    MemberError::Nonsense(fault.message)
+    MemberError::InvalidAnswer(fault.message)
 }
--- a/src/standin/table.rs
+++ b/src/standin/table.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 
 use super::platform::ERA;
-use crate::borders::roster::{Roster, Tagged};
+use crate::borders::roster::{Listings, Roster};
 use crate::borders::table::{Commit, Revision, Scan, Section, Table, TableError, Verdict, Write};
 use crate::http::{Answer, Call, Client, HttpError};
 
@@ -50,7 +50,7 @@
         let era: u64 = named.unwrap_or(known);
         if era < known {
             let message = "another copy has taken the table's place".to_owned();
-            return Err(TableError::Down(message));
+            return Err(TableError::Unavailable(message));
         }
         self.era.set(era);
         Ok(era)
@@ -76,11 +76,11 @@
 }
 
 fn down(error: HttpError) -> TableError {
-    TableError::Down(error.to_string())
+    TableError::Unavailable(error.to_string())
 }
 
 fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, TableError> {
-    serde_json::from_slice(body).map_err(|error| TableError::Nonsense(error.to_string()))
+    serde_json::from_slice(body).map_err(|error| TableError::InvalidAnswer(error.to_string()))
 }
 
 /// A commit as it goes over the wire, where conditions are numbers.
@@ -152,7 +152,7 @@
 
 #[async_trait(?Send)]
 impl Roster for Platform {
-    async fn boxes(&self, tag: &str) -> Result<Option<Tagged>, TableError> {
+    async fn boxes(&self, tag: &str) -> Result<Option<Listings>, TableError> {
         let call = Call {
             headers: vec![("if-none-match", tag.to_owned())],
             ..Call::get(&self.address, "/boxes", WAIT)
@@ -164,7 +164,7 @@
         };
         let boxes = decode(&body)?;
         let tag = tag_of(&body);
-        Ok(Some(Tagged {
+        Ok(Some(Listings {
             tag,
             revision: Revision::NONE,
             boxes,
--- a/tests/unit/copies.rs
+++ b/tests/unit/copies.rs
@@ -9,7 +9,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
-use larkfall::borders::table::{Ages, Revision, Scan};
+use larkfall::borders::table::{DepartureAges, Revision, Scan};
 use larkfall::decisions::duty::{Ballot, Claim, Duty, taken};
 use larkfall::declarations::resource::Key;
 use larkfall::declarations::snapshot::Snapshot;
@@ -189,7 +189,8 @@
         let snapshot = self.store.snapshot();
         let change = (&self.snapshot, &snapshot);
         let heard = Some(Duration::ZERO);
-        self.departures.take(change, &Ages::new(), heard, now);
+        self.departures
+            .take(change, &DepartureAges::new(), heard, now);
         self.snapshot = snapshot;
     }
 
--- a/tests/unit/fake.rs
+++ b/tests/unit/fake.rs
@@ -709,7 +709,7 @@
             return;
         }
         let at = self.now + ANSWER_WAIT;
-        let event = event_of(member, began, call, Err(MemberError::Silent));
+        let event = event_of(member, began, call, Err(MemberError::TimedOut));
         self.at(at, Delivery::ToOwner { owner, event });
     }
 
--- a/tests/unit/group.rs
+++ b/tests/unit/group.rs
@@ -148,7 +148,7 @@
             match action {
                 Action::Fence { member, term } if member > 0 => {
                     expect_that!(group.bid(term).replaced, eq(2));
-                    expect_that!(group.bid(term).known, ge(5));
+                    expect_that!(group.bid(term).known_promise, ge(5));
                     fence = Some(term);
                     let answer = Ok(replica(term));
                     let event = Event::Fenced {
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -484,7 +484,7 @@
     bench.grant(1, 10);
     let term = bench.term();
     for member in [0, 2] {
-        let answer = Err(MemberError::Silent);
+        let answer = Err(MemberError::TimedOut);
         bench.tell(Event::Fenced {
             member,
             term,
@@ -818,7 +818,7 @@
         bench.term(),
         bench.asked(|a| matches!(a, Action::Fence { .. })),
     );
-    expect_that!(bench.group.bid(term).known, eq(1));
+    expect_that!(bench.group.bid(term).known_promise, eq(1));
     // Two members have taken the fence of another box meanwhile.
     for member in [1, 2] {
         let answer = Err(MemberError::Fenced { promised: term + 1 });
@@ -846,7 +846,7 @@
         bench.asked(|a| matches!(a, Action::Fence { .. })),
         gt(fences)
     );
-    expect_that!(bench.group.bid(bench.term()).known, eq(term + 1));
+    expect_that!(bench.group.bid(bench.term()).known_promise, eq(term + 1));
 }
 
 /// On an incident of cosecha-larkfall-grown the new primary was seen before its order's
--- a/tests/unit/leaving.rs
+++ b/tests/unit/leaving.rs
@@ -16,7 +16,7 @@
 
 use googletest::prelude::*;
 use larkfall::borders::member::Role;
-use larkfall::borders::table::{Ages, Revision, Row, Scan};
+use larkfall::borders::table::{DepartureAges, Revision, Row, Scan};
 use larkfall::decisions::departure::Departure;
 use larkfall::decisions::group::{Action, Event, Note};
 use larkfall::declarations::snapshot::{Plan, Snapshot};
@@ -205,14 +205,24 @@
     let empty = Snapshot::default();
     let snapshot = store.snapshot();
     let mut first = Departures::default();
-    first.take((&empty, &snapshot), &Ages::new(), Some(ms(40)), ms(1_000));
+    first.take(
+        (&empty, &snapshot),
+        &DepartureAges::new(),
+        Some(ms(40)),
+        ms(1_000),
+    );
     // It is counted once, whatever is told again later.
-    first.take((&empty, &snapshot), &Ages::new(), Some(ms(0)), ms(2_000));
+    first.take(
+        (&empty, &snapshot),
+        &DepartureAges::new(),
+        Some(ms(0)),
+        ms(2_000),
+    );
     let told = first.ages(ms(3_000));
     expect_that!(told[&row.key], some(eq(2_040)));
     // This box started after the word, and by its own clock before the word's age.
     let mut second = Departures::default();
-    second.take((&empty, &snapshot), &Ages::new(), None, ms(10));
+    second.take((&empty, &snapshot), &DepartureAges::new(), None, ms(10));
     expect_that!(second.has_unknown(ms(10)), eq(true));
     expect_that!(second.ages(ms(10))[&row.key], none());
     expect_that!(second.learn(&told, ms(20)), eq(true));
@@ -259,9 +269,9 @@
     let word = declared(&mut store, Revision::new(1, 24), told(true, 5));
     let heard = Some(Duration::ZERO);
     let before = Snapshot::default();
-    departures.take((&before, &word), &Ages::new(), heard, ms(1_000));
+    departures.take((&before, &word), &DepartureAges::new(), heard, ms(1_000));
     let copy = declared(&mut store, Revision::new(2, 20), told(false, 5));
-    departures.take((&word, &copy), &Ages::new(), heard, ms(2_000));
+    departures.take((&word, &copy), &DepartureAges::new(), heard, ms(2_000));
     let leaving = |departures: &Departures, snapshot: &Snapshot| {
         let applied = snapshot.clone().with_departures(departures.known());
         applied.groups["p/g"].members[0].leaving
@@ -269,12 +279,12 @@
     expect_that!(leaving(&departures, &copy), eq(true));
     // Its word, written again, is no new one.
     let again = declared(&mut store, Revision::new(2, 26), told(true, 5));
-    departures.take((&copy, &again), &Ages::new(), heard, ms(3_000));
+    departures.take((&copy, &again), &DepartureAges::new(), heard, ms(3_000));
     let key: Arc<str> = "resource/member/p/g.m0".into();
     expect_that!(departures.ages(ms(3_000))[&key], some(eq(2_000)));
     // Within one era it is the member that speaks, and after another start it is another one.
     let stays = declared(&mut store, Revision::new(2, 30), told(false, 5));
-    departures.take((&again, &stays), &Ages::new(), heard, ms(4_000));
+    departures.take((&again, &stays), &DepartureAges::new(), heard, ms(4_000));
     expect_that!(leaving(&departures, &stays), eq(false));
 }
 
@@ -287,12 +297,12 @@
     let heard = Some(Duration::ZERO);
     departures.take(
         (&Snapshot::default(), &word),
-        &Ages::new(),
+        &DepartureAges::new(),
         heard,
         ms(1_000),
     );
     let started = declared(&mut store, Revision::new(2, 20), told(false, 6));
-    departures.take((&word, &started), &Ages::new(), heard, ms(2_000));
+    departures.take((&word, &started), &DepartureAges::new(), heard, ms(2_000));
     expect_that!(departures.known().count(), eq(0));
 }
 
@@ -304,12 +314,17 @@
     let word = declared(&mut store, Revision::new(2, 26), told(true, 5));
     let mut departures = Departures::default();
     let heard = Some(Duration::ZERO);
-    departures.take((&Snapshot::default(), &word), &Ages::new(), heard, ms(100));
+    departures.take(
+        (&Snapshot::default(), &word),
+        &DepartureAges::new(),
+        heard,
+        ms(100),
+    );
     let key: Arc<str> = "resource/member/p/g.m0".into();
-    let older = Ages::from([(key.clone(), Some(4_000))]);
+    let older = DepartureAges::from([(key.clone(), Some(4_000))]);
     expect_that!(departures.learn(&older, ms(200)), eq(true));
     expect_that!(departures.ages(ms(200))[&key], some(eq(4_000)));
-    let younger = Ages::from([(key.clone(), Some(10))]);
+    let younger = DepartureAges::from([(key.clone(), Some(10))]);
     expect_that!(departures.learn(&younger, ms(300)), eq(false));
     expect_that!(departures.ages(ms(300))[&key], some(eq(4_100)));
 }
--- a/tests/unit/orders.rs
+++ b/tests/unit/orders.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use larkfall::borders::member::{Bid, MemberError, Role, Status};
+use larkfall::borders::member::{Fence, MemberError, Role, Status};
 use larkfall::borders::table::Revision;
 use larkfall::decisions::duty::{Claim, Duty, taken};
 use larkfall::decisions::group::{Action, Event, Group};
@@ -58,7 +58,7 @@
     Fence {
         by: usize,
         member: usize,
-        bid: Bid,
+        bid: Fence,
     },
     Pause {
         by: usize,
@@ -361,7 +361,7 @@
     fn status(&mut self, by: usize, member: usize, began: Duration) {
         let known = self.members[member];
         let (after, answer) = match known.dark {
-            true => (SILENCE, Err(MemberError::Silent)),
+            true => (SILENCE, Err(MemberError::TimedOut)),
             false => (self.way(), Ok(known.status())),
         };
         let event = Event::Status {
@@ -372,13 +372,13 @@
         self.at(after, Step::Tell(by, event));
     }
 
-    fn fence(&mut self, by: usize, member: usize, bid: Bid) {
+    fn fence(&mut self, by: usize, member: usize, bid: Fence) {
         let known = self.members[member];
         let promised = known.status().promised;
-        let outbid = promised > bid.known.max(bid.replaced);
+        let outbid = promised > bid.known_promise.max(bid.replaced);
         let term = bid.term;
         let answer = match known.dark {
-            true => Err(MemberError::Silent),
+            true => Err(MemberError::TimedOut),
             false if known.term > bid.replaced || outbid => Err(MemberError::Fenced { promised }),
             false => return self.soon(Step::Pause { by, member, term }),
         };
