--- a/src/borders.rs
+++ b/src/borders.rs
@@ -1,4 +1,4 @@
-//! Trait objects at the borders: sockets, time, the platform, the members.
+//! Traits for everything outside the process: connections, time, the platform and the members.
 
 pub mod clock;
 pub mod member;
--- a/src/borders/clock.rs
+++ b/src/borders/clock.rs
@@ -1,9 +1,9 @@
-//! Border to time. Decisions are handed the time; they never ask for it.
+//! Access to time. Decisions get the current time as an argument and never read a clock.
 
 use std::time::{Duration, Instant};
 
-/// Monotonic time since the process started.
 pub trait Clock {
+    /// Returns the monotonic time since the process started.
     fn now(&self) -> Duration;
 }
 
--- a/src/borders/member.rs
+++ b/src/borders/member.rs
@@ -1,7 +1,7 @@
-//! Border to one member of a database group.
+//! Control of one member of a database group.
 //!
-//! What the users' own platform speaks is not known yet. Everything that
-//! depends on it stands behind [`Member`]; the decisions see only [`Status`].
+//! Everything that depends on the platform's control protocol is behind [`Member`]; the
+//! decisions see only [`Status`].
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,40 +12,40 @@
 use crate::decisions::position::Position;
 use crate::declarations::resource::{Address, Member as Declared};
 
-/// What a member does in its group.
+/// Role of a member in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
     Primary,
     Replica,
 }
 
-/// How a replica finds its stream from the primary.
+/// State of a replica's stream from the primary, as the replica sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stream {
-    /// Heard from it lately.
+    /// The primary has sent something recently.
     Live,
-    /// Refused or reset.
+    /// The connection was refused or reset.
     Broken,
-    /// Nothing heard for longer than the stream's heartbeat.
+    /// The primary has sent nothing for longer than the stream's heartbeat.
     Silent,
-    /// A primary follows nobody.
+    /// The member is a primary, or doesn't report its stream.
     None,
 }
 
 /// A member's report of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Highest term it took a fence for.
+    /// Highest term for which the member accepted a fence.
     pub promised: u64,
     pub role: Role,
-    /// Newest entry it holds durably.
+    /// Last entry that the member has stored durably.
     pub log: Position,
-    /// Newest entry that reads on it can see.
+    /// Last entry that is visible to reads on the member.
     pub applied: Position,
     pub stream: Stream,
 }
 
-/// Why a member gave no answer, or a negative one.
+/// Why a member didn't answer, or refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MemberError {
     #[error("connection refused or reset")]
@@ -54,7 +54,7 @@
     TimedOut,
     #[error("refused: its promised term is {promised}")]
     Fenced { promised: u64 },
-    /// It answers, but has no time for this.
+    /// The member is alive, but too busy for this request.
     #[error("too busy")]
     Busy,
     #[error("not ordered: another box has taken the duty")]
@@ -63,52 +63,53 @@
     InvalidAnswer(String),
 }
 
-/// On whose authority a member is promoted, where the platform wants to know.
+/// The holder of the duty that orders a promotion, for platforms that check it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Order {
-    /// The box that holds the duty.
+    /// Name of the box that holds the duty.
     pub holder: Arc<str>,
-    /// Rises whenever the holder changes.
+    /// Fencing token; increases whenever the holder changes.
     pub generation: u64,
 }
 
-/// What a ballot asks of a member.
+/// A fence that an election requests from a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fence {
     pub term: u64,
-    /// The term that the ballot is to end; a member that has gone on to a later one is
-    /// not fenced.
+    /// Term that the election replaces. A member that follows a later term is not fenced.
     pub replaced: u64,
-    /// The highest promise known when the ballot began. Where members do not arbitrate,
-    /// one that has promised more since is left to the ballot it did so for.
+    /// Highest promised term known when the election began. Where members don't arbitrate
+    /// between elections, a member that has promised a higher term since is left to that
+    /// term's election.
     pub known_promise: u64,
 }
 
-/// Control half of a member: status, fence, promote, follow.
+/// The control side of a member.
 #[async_trait(?Send)]
 pub trait Member {
     async fn status(&self) -> Result<Status, MemberError>;
-    /// Takes the bid's term if it is strictly above the member's promised term.
-    async fn fence(&self, bid: &Fence) -> Result<Status, MemberError>;
-    /// Makes the member primary of `term`, which it must have promised.
-    /// `stands` is asked right before the order goes out, since what comes before
-    /// takes time; without it nothing is ordered.
+    /// Fences the member for a term, if that is higher than the term it has promised.
+    async fn fence(&self, fence: &Fence) -> Result<Status, MemberError>;
+    /// Promotes the member to primary of `term`, which it must have promised. Checks `holds_duty`
+    /// right before sending the order, as the preceding steps take time, and sends nothing if
+    /// it returns false.
     async fn promote(
         &self,
         term: u64,
         order: &Order,
-        stands: &dyn Fn() -> bool,
+        holds_duty: &dyn Fn() -> bool,
     ) -> Result<Status, MemberError>;
+    /// Makes the member follow the primary of `term`.
     async fn follow(&self, term: u64, primary: &Address) -> Result<Status, MemberError>;
-    /// Takes back a fence that leads to nothing; does nothing where fences last.
+    /// Releases the fence of an abandoned election, where the platform can release fences.
     async fn release_fence(&self) -> Result<(), MemberError> {
         Ok(())
     }
-    /// Returns when the member's process is seen to be gone.
+    /// Waits until the member's process is known to have ended.
     async fn wait_until_gone(&self);
 }
 
-/// Makes the control half of a declared member.
+/// Creates the control side of a declared member.
 pub trait Members {
     fn member(&self, declared: &Declared) -> Rc<dyn Member>;
 }
--- a/src/borders/roster.rs
+++ b/src/borders/roster.rs
@@ -1,4 +1,4 @@
-//! Border to the platform's list of boxes, which lags behind reality.
+//! Access to the platform's list of boxes, which lags behind their actual state.
 
 use std::sync::Arc;
 
@@ -11,23 +11,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
     pub name: Arc<str>,
-    /// `IP:port` of its peer and resource API.
+    /// `IP:port` of the box's peer and resource API.
     pub address: Arc<str>,
-    /// Failure domain.
+    /// Failure domain of the box.
     pub domain: Arc<str>,
     #[serde(default)]
     pub leaving: bool,
-    /// Width of the box's link, in Mbit/s; 0 where that is not known.
+    /// Bandwidth of the box's link in Mbit/s; 0 if unknown.
     #[serde(default)]
     pub link_mbps: u32,
 }
 
-/// The list with a tag that changes when it does.
+/// The listed boxes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listings {
+    /// Changes whenever the list changes.
     pub tag: String,
-    /// Grows with each change and is the same for every box; the default where the platform
-    /// does not tell.
+    /// Increases with each change, and is the same on all boxes; the default if the platform
+    /// doesn't report a revision.
     pub revision: Revision,
     pub boxes: Vec<Listing>,
 }
@@ -35,26 +36,26 @@
 /// The platform's list of live and leaving boxes.
 #[async_trait(?Send)]
 pub trait Roster {
-    /// The list, or none when it is still the one of `tag`: with hundreds of
-    /// boxes the whole list is too much for every look.
+    /// Returns the list, or none if its tag is still `tag`, which saves reading a list of
+    /// hundreds of boxes each time.
     async fn boxes(&self, tag: &str) -> Result<Option<Listings>, TableError>;
-    /// Whether the list was read at least once.
+    /// Whether the list has been read at least once.
     fn is_loaded(&self) -> bool {
         true
     }
-    /// Whether boxes list themselves.
+    /// Whether boxes add themselves to the list.
     fn is_self_registered(&self) -> bool {
         false
     }
-    /// Whether the list names a box just so, as far as this box has read it.
+    /// Whether the list, as last read, contains this exact listing.
     fn contains(&self, _: &Listing) -> bool {
         false
     }
-    /// Puts this box on the list.
+    /// Adds this box to the list.
     async fn register(&self, _: &Listing) -> Result<(), TableError> {
         Ok(())
     }
-    /// Takes a box off the list.
+    /// Removes the box of this name from the list.
     async fn deregister(&self, _: &str) -> Result<(), TableError> {
         Ok(())
     }
--- a/src/borders/table.rs
+++ b/src/borders/table.rs
@@ -1,4 +1,4 @@
-//! Border to the platform's transactional table service.
+//! Access to the platform's transactional table service.
 
 mod revision;
 
@@ -13,69 +13,74 @@
 
 pub use revision::Revision;
 
-/// Prefix of rows that operators declare.
+/// Key prefix of rows that operators declare.
 pub const RESOURCE_PREFIX: &str = "resource/";
-/// What follows it for a member.
-const MEMBER: &str = "member/";
+/// Key prefix of members, after [`RESOURCE_PREFIX`].
+const MEMBER_PREFIX: &str = "member/";
 
-/// A row as committed. `value` is none when the row was deleted.
+/// A committed row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub key: Arc<str>,
-    /// Table revision of the commit that wrote it.
+    /// Table revision of the commit that wrote the row.
     pub revision: Revision,
+    /// None if the row was deleted.
     pub value: Option<Value>,
 }
 
-/// One row of a commit. `expect` is the revision the row must have, the default for none.
+/// A conditional write of one row.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Write {
     pub key: Arc<str>,
+    /// Revision that the row must have: [`Revision::NONE`] if it must not exist, none for no
+    /// condition.
     pub expect: Option<Revision>,
+    /// None deletes the row.
     pub value: Option<Value>,
 }
 
-/// All rows or none. The nonce finds a commit whose answer was lost.
+/// Writes that take effect together or not at all.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Commit {
+    /// Identifies the commit, so that it can be retried if its answer was lost.
     pub nonce: String,
     pub writes: Vec<Write>,
 }
 
-/// What the table answered to a commit.
+/// The table's answer to a commit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Taken at this revision.
+    /// Committed at this revision.
     Done(Revision),
     /// A row has another revision than expected.
     Conflict { key: Arc<str>, found: Revision },
 }
 
-/// Rows that are read together, apart from the others.
+/// Rows that are read together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Section {
-    /// What operators declare, without the members.
+    /// Everything that operators declare, except members.
     Declarations,
     Members,
-    /// What boxes record for each other.
+    /// Rows that boxes record for each other.
     Records,
 }
 
 impl Section {
     pub const ALL: [Section; 3] = [Section::Declarations, Section::Members, Section::Records];
 
-    /// The section of a row.
+    /// Returns the section of the row with this key.
     pub fn of(key: &str) -> Self {
         match key.strip_prefix(RESOURCE_PREFIX) {
-            Some(resource) if resource.starts_with(MEMBER) => Section::Members,
+            Some(resource) if resource.starts_with(MEMBER_PREFIX) => Section::Members,
             Some(_) => Section::Declarations,
             None => Section::Records,
         }
     }
 }
 
-/// Milliseconds since members said that they leave, by the rows' keys; none where whoever
-/// tells can't tell that.
+/// Milliseconds since members announced that they leave, by row key; none if the sender doesn't
+/// know.
 pub type DepartureAges = BTreeMap<Arc<str>, Option<u64>>;
 
 /// Rows newer than a revision, in revision order.
@@ -83,25 +88,25 @@
 pub struct Scan {
     pub head: Revision,
     pub rows: Vec<Row>,
-    /// Sections of which no row is left out, and the revision at which they were read:
-    /// an older row that is not among `rows` is gone. Whoever reads a document after
-    /// one of its rows was removed can't name that row, only leave it out.
+    /// Sections that are complete, each with the revision at which it was read. A known older
+    /// row that is missing from `rows` has been deleted; a source that reads whole documents
+    /// can only report a deletion by omitting the row.
     #[serde(default)]
     pub whole: BTreeMap<Section, Revision>,
-    /// Digest of the rows of whoever asked, if they are those of whoever answers: then
-    /// `rows` is empty, and `whole` says as of when both know them.
+    /// Digest of the requester's rows, if the sender has the same rows. In that case `rows` is
+    /// empty, and `whole` holds the revisions at which both know the sections.
     #[serde(default)]
     pub same_as: Option<u64>,
-    /// Of all members that leave, where a box answers.
+    /// Ages of all current departures; only sent by boxes.
     #[serde(default)]
     pub ages: DepartureAges,
-    /// Milliseconds since the rows were written, at the most, where the table answers; none
-    /// where it can't tell.
+    /// Upper bound of the milliseconds since the rows were written, if known; only reported by
+    /// the table.
     #[serde(default)]
     pub lag_ms: Option<u64>,
 }
 
-/// Why the table gave no verdict. The commit may have taken effect.
+/// Why the result of a table request is unknown. A commit may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TableError {
     #[error("the table gives no answer: {0}")]
@@ -110,15 +115,15 @@
     InvalidAnswer(String),
 }
 
-/// How a box that waits for news reads the table.
+/// How a box polls the table for changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Polling {
-    /// Not at all: others tell what is new.
+    /// Doesn't poll, as a reader passes changes on.
     Paused,
-    /// For itself.
+    /// Polls for itself.
     #[default]
     Normal,
-    /// For others too, who want to know that the table still answers.
+    /// Polls for its followers too, who need to know that the table still answers.
     Frequent,
 }
 
@@ -135,25 +140,24 @@
 /// The platform's table.
 #[async_trait(?Send)]
 pub trait Table {
-    /// Newest revision: one small row.
+    /// Returns the newest revision, without reading the rows.
     async fn head(&self) -> Result<Revision, TableError>;
-    /// All rows written after `since`.
+    /// Returns all rows written after `since`.
     async fn scan(&self, since: Revision) -> Result<Scan, TableError>;
     async fn commit(&self, commit: &Commit) -> Result<Verdict, TableError>;
-    /// Returns when there may be something new: after `poll` where the table does
-    /// not tell.
+    /// Waits until there may be changes; for `poll` if the table can't notify.
     async fn wait_for_changes(&self, poll: Duration) {
         tokio::time::sleep(poll).await;
     }
-    /// Says how the table is to be read from now on, where waits for news have a price.
+    /// Sets how to poll the table, where polling has a cost.
     fn set_polling(&self, _: Polling) {}
-    /// Time since the table last answered; none while it rests, is down or does not
-    /// tell.
+    /// Returns the time since the table last answered; none if polling is paused, the table is
+    /// unavailable, or the time isn't tracked.
     fn answer_age(&self) -> Option<Duration> {
         None
     }
-    /// Whether rows become known in the order of their revisions. Where not, a
-    /// revision does not say which rows somebody has.
+    /// Whether rows become visible in the order of their revisions. If not, a revision doesn't
+    /// tell which rows a box has.
     fn has_ordered_revisions(&self) -> bool {
         true
     }
--- a/src/borders/table/revision.rs
+++ b/src/borders/table/revision.rs
@@ -1,24 +1,23 @@
-//! Positions in the history of the platform's table.
+//! Revisions of the platform's table.
 //!
-//! The table's counter goes back when the table comes back as an older copy of itself, and
-//! then gives its numbers out again. So a number alone says nothing: it is a position only
-//! with the era that it was given out in, and a later era is later in every respect.
+//! If the table is restored from an older copy of itself, its counter falls back and assigns the
+//! same numbers again. A revision therefore combines a number with the era in which it was
+//! assigned, and any revision of a later era is later.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Bits of the number within an era. The rest leaves room for more than eight thousand
-/// copies, while a revision stays exact as a float in operators' tools.
+/// Bits of the number within an era. The remaining bits of a 53-bit integer hold the era, so that
+/// revisions stay exact as floats in operators' tools.
 const NUMBER_BITS: u32 = 40;
-const MOST_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
-const MOST_ERA: u64 = (1 << (53 - NUMBER_BITS)) - 1;
-/// Era of what operators count themselves. Above those revisions that boxes without eras
-/// tell, so that both understand each other while a system is brought up to date.
-const COUNTED: u64 = 1;
+const MAX_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
+const MAX_ERA: u64 = (1 << (53 - NUMBER_BITS)) - 1;
+/// Era of numbers that operators assign. It ranks above era 0, in which boxes without support for
+/// eras report all revisions, so that both kinds of boxes can run together during an upgrade.
+const OPERATOR_ERA: u64 = 1;
 
-/// A position in the table's history. Ordered by era, then by the number within it; the
-/// default is before everything.
+/// A revision of the table, ordered by era and then by number. The default precedes all others.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -26,38 +25,39 @@
 pub struct Revision(u64);
 
 impl Revision {
-    /// Before everything; as a condition, a row that is not there.
+    /// Precedes all revisions; as a condition, requires that the row doesn't exist.
     pub const NONE: Self = Self(0);
 
-    /// A number that the table gave out in an era.
+    /// Creates the revision for a number that the table assigned in an era.
     pub fn new(era: u64, number: u64) -> Self {
-        Self(era.min(MOST_ERA) << NUMBER_BITS | number.min(MOST_NUMBER))
+        Self(era.min(MAX_ERA) << NUMBER_BITS | number.min(MAX_NUMBER))
     }
 
-    /// A number that an operator gave out, which no copy of the table turns back.
+    /// Creates the revision for a number that an operator assigned, which doesn't fall back when
+    /// the table is restored.
     pub fn from_operator(number: u64) -> Self {
-        Self::new(COUNTED, number)
+        Self::new(OPERATOR_ERA, number)
     }
 
     pub fn era(self) -> u64 {
         self.0 >> NUMBER_BITS
     }
 
-    /// Number within the era.
+    /// Returns the number within the era.
     pub fn number(self) -> u64 {
-        self.0 & MOST_NUMBER
+        self.0 & MAX_NUMBER
     }
 
-    /// The next one of the same era.
+    /// Returns the next revision of the same era.
     pub fn next(self) -> Self {
         Self::new(self.era(), self.number() + 1)
     }
 }
 
-/// As operators and boxes tell it.
+/// Converts from the form in which operators and boxes exchange revisions.
 impl From<u64> for Revision {
-    fn from(told: u64) -> Self {
-        Self(told)
+    fn from(encoded: u64) -> Self {
+        Self(encoded)
     }
 }
 
--- a/src/borders/upstream.rs
+++ b/src/borders/upstream.rs
@@ -1,8 +1,8 @@
-//! Border to the connections on which statements run.
+//! Connections to members, on which statements run.
 //!
-//! The core carries statements as opaque payloads; only the codec that speaks to
-//! the member opens them. What the core decides by is typed: whether the member
-//! ran the statement, the state of the transaction, and the position reached.
+//! Statements are opaque payloads; only the codec of a member's protocol interprets them. The
+//! decisions rely on typed results: whether the member ran the statement, the state of the
+//! transaction, and the position reached.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::decisions::position::Position;
 use crate::declarations::resource::Member;
 
-/// State of the transaction on a connection.
+/// Transaction state of a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Status {
     #[default]
@@ -23,148 +23,148 @@
     Failed,
 }
 
-/// How a transaction begins.
+/// Access mode of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Begin {
     ReadWrite,
     ReadOnly,
 }
 
-/// The opening of a transaction.
+/// The start of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Opening {
     pub begin: Begin,
-    /// The caller's id of it, in the codec's words.
+    /// The caller's id of the transaction, in the codec's format.
     pub id: Arc<str>,
 }
 
-/// A prepared statement under the name that all boxes give it.
+/// A prepared statement, under a name that all boxes derive alike.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Prepared {
     pub name: Arc<str>,
-    /// What it runs, in the codec's words.
+    /// The statement's text, in the codec's format.
     pub text: Arc<str>,
 }
 
-/// Values that a session has set, by name.
+/// Session settings, by name.
 pub type Values = BTreeMap<Arc<str>, Arc<str>>;
 
-/// What a connection is brought to before a statement runs on it.
+/// State that a connection must have before a statement runs on it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Setup {
-    /// The session's values; all others must be gone.
+    /// The session's settings; all others must be reset.
     pub values: Arc<Values>,
-    /// The statement that the payload executes.
+    /// The prepared statement that the payload executes.
     pub prepared: Option<Prepared>,
-    /// The transaction that this statement opens.
+    /// The transaction that the statement opens.
     pub opening: Option<Opening>,
 }
 
-/// One statement for a connection.
+/// A statement to run on a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Task<'a> {
     pub payload: &'a Bytes,
-    /// None leaves the connection as it is.
+    /// None leaves the state of the connection as it is.
     pub setup: Option<&'a Setup>,
-    /// Position that the member must hold, where the codec can say so.
+    /// Position that the member must have reached, where the codec supports it.
     pub floor: Option<Position>,
 }
 
-/// Why a member did not run a statement.
+/// Why a member didn't run a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// It is not the primary.
+    /// The member is not the primary.
     NotPrimary,
-    /// Its log lacks the floor.
+    /// The member has not reached the floor.
     Lagging,
-    /// It is too busy.
+    /// The member is too busy.
     Busy,
-    /// It does not know the prepared statement.
+    /// The member doesn't know the prepared statement.
     NotPrepared,
 }
 
-/// What became of a statement.
+/// Result of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Done,
-    /// It ran, and the member reports an error.
+    /// The member ran the statement and reported an error.
     Failed,
+    /// The member didn't run the statement.
     Rejection(Rejection),
 }
 
-/// A whole answer of a member.
+/// A complete answer of a member.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// In the codec's format.
+    /// Messages in the codec's format.
     pub messages: Bytes,
-    /// None while the codec's exchange stays open.
+    /// None while the codec's exchange is still open.
     pub status: Option<Status>,
     pub position: Option<Position>,
     pub verdict: Verdict,
 }
 
-/// Why there is no whole answer. The statement may have run.
+/// Why there is no complete answer. The statement may have run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UpstreamError {
     #[error("connection lost: {0}")]
     Lost(String),
     #[error("no answer in time")]
     TimedOut,
-    #[error("the member answered nonsense: {0}")]
+    #[error("invalid answer from the member: {0}")]
     InvalidAnswer(String),
 }
 
-/// Why no connection could be made. Nothing was sent.
+/// Why no connection was opened. Nothing was sent.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
     #[error("connection lost: {0}")]
     Lost(String),
-    #[error("the member takes no more connections: {0}")]
+    #[error("the member accepts no more connections: {0}")]
     Full(String),
-    #[error("another member listens there: {0}")]
+    #[error("a different member listens at this address: {0}")]
     WrongMember(String),
     #[error("no connection in time")]
     TimedOut,
 }
 
-/// How a request with a key ended.
+/// Result of a statement with an idempotency key.
 #[derive(Clone, Debug)]
 pub enum Keyed {
-    /// It ran now and is committed at this position.
+    /// The statement ran now and committed.
     Ran(Answer),
-    /// It had run before; this is the recorded answer.
+    /// The statement had run before; this is the recorded answer.
     Recorded(Answer),
-    /// It failed in the database; its key is not taken.
+    /// The statement failed in the database, and its key was not recorded.
     Failed(Answer),
-    /// Nothing is known: try again.
+    /// The result is unknown, and the statement can be retried.
     Unresolved,
 }
 
 /// An open connection to a member.
 #[async_trait(?Send)]
 pub trait Upstream {
-    /// Runs one statement and collects its whole answer.
+    /// Runs one statement and collects its complete answer.
     async fn run(&mut self, task: &Task<'_>) -> Result<Answer, UpstreamError>;
 
-    /// Runs a statement in one transaction with a record of its key.
+    /// Runs a statement in the same transaction that records its idempotency key.
     async fn run_keyed(&mut self, task: &Task<'_>, key: &str) -> Result<Keyed, UpstreamError>;
 
-    /// Ends the open transaction without effect.
+    /// Rolls back the open transaction.
     async fn roll_back(&mut self) -> Result<(), UpstreamError>;
 
-    /// Position that the member reported last on this connection.
+    /// Returns the position that the member last reported on this connection.
     fn position(&self) -> Option<Position>;
 
-    /// Whether the connection may serve another session: nothing is under way, and
-    /// nothing came that nobody asked for, the end included.
+    /// Whether another session may use the connection: it is open and idle, and has received
+    /// nothing unexpected.
     fn is_reusable(&mut self) -> bool;
 }
 
 /// Opens connections to members.
 #[async_trait(?Send)]
 pub trait Dialer {
-    /// Opens a connection for a workspace's statements; for those of nobody in particular
-    /// where there is none.
+    /// Opens a connection for the statements of a workspace, or for statements without one.
     async fn connect(
         &self,
         member: &Member,
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -1,4 +1,5 @@
-//! The decisions. No I/O, no clock: events and a time come in, actions go out.
+//! The decision logic, free of I/O and clocks: functions take events and the current time, and
+//! return actions.
 
 pub mod budget;
 pub mod classify;
--- a/src/decisions/owners.rs
+++ b/src/decisions/owners.rs
@@ -1,8 +1,8 @@
-//! Which boxes own a group: rendezvous hashing, spread over failure domains.
+//! Selects the boxes that own a group, by rendezvous hashing spread over failure domains.
 //!
-//! Every box reckons it for itself from the list of boxes. Boxes whose lists
-//! differ choose differently for a while; that costs a hop or a connection,
-//! never correctness, since an owner is no more than an efficiency.
+//! Each box computes the owners from its own list of boxes. Boxes with different lists select
+//! different owners for a while, which costs an extra hop or connection but never correctness:
+//! ownership is only an optimization.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,14 +12,14 @@
 use crate::borders::roster::Listing;
 use crate::declarations::snapshot::Plan;
 
-/// The boxes that may own, hashed once for all groups.
+/// The boxes that may own groups, each with the hash of its name.
 #[derive(Clone, Debug, Default)]
 pub struct Ranking {
     boxes: Vec<(u64, Listing)>,
 }
 
 impl Ranking {
-    /// Boxes that may own.
+    /// Number of boxes that may own groups.
     pub fn len(&self) -> usize {
         self.boxes.len()
     }
@@ -28,13 +28,13 @@
         self.boxes.is_empty()
     }
 
-    /// Whether so many owners are all boxes there are. Only then do two boxes with
-    /// different lists agree on who owns a group.
+    /// Whether a group with this number of owners is owned by every box. Only then do boxes
+    /// with different lists agree on the owners.
     pub fn covers_all_boxes(&self, owners: usize) -> bool {
         owners == self.boxes.len()
     }
 
-    /// Leaving boxes own nothing.
+    /// Ranks the listed boxes, without those that are leaving.
     pub fn new(boxes: &[Listing]) -> Self {
         let present = boxes.iter().filter(|listing| !listing.leaving);
         let hashed = |listing: &Listing| (xxh3_64(listing.name.as_bytes()), listing.clone());
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Owners of `group`, best first. Members' own domains come first, then one
-    /// box a domain, then whatever is left.
+    /// Returns `count` owners of `group`, best first: the best box of each failure domain in
+    /// `domains`, then the best box of each other domain, then the remaining boxes.
     pub fn owners(&self, group: &str, count: usize, domains: &BTreeSet<Arc<str>>) -> Vec<&Listing> {
         let seed = xxh3_64(group.as_bytes());
         let weight = |hash: &u64| xxh3_64_with_seed(&hash.to_le_bytes(), seed);
@@ -60,16 +60,16 @@
             .into_values()
             .map(|(weight, listing)| (domains.contains(&listing.domain), weight, listing))
             .collect();
-        chosen.sort_by_key(|(near, weight, _)| std::cmp::Reverse((*near, *weight)));
+        chosen.sort_by_key(|(preferred, weight, _)| std::cmp::Reverse((*preferred, *weight)));
         let mut owners: Vec<&Listing> = chosen.into_iter().map(|(_, _, l)| l).collect();
         if owners.len() < count {
-            self.fill(&mut owners, weight);
+            self.fill_by_weight(&mut owners, weight);
         }
         owners.truncate(count);
         owners
     }
 
-    /// Owners of a declared group, best first.
+    /// Returns the owners of a declared group, best first.
     pub fn owners_of(&self, plan: &Plan) -> Vec<&Listing> {
         let domains: BTreeSet<Arc<str>> = plan.members.iter().map(|m| m.domain.clone()).collect();
         let group = &plan.group;
@@ -82,8 +82,8 @@
         self.owners(&plan.id, count, &domains)
     }
 
-    /// Fewer domains than owners are wanted: the rest by weight alone.
-    fn fill<'a>(&'a self, owners: &mut Vec<&'a Listing>, weight: impl Fn(&u64) -> u64) {
+    /// Appends the boxes that aren't owners yet, by weight.
+    fn fill_by_weight<'a>(&'a self, owners: &mut Vec<&'a Listing>, weight: impl Fn(&u64) -> u64) {
         let mut rest: Vec<&(u64, Listing)> = self.boxes.iter().collect();
         rest.sort_by_key(|(hash, _)| std::cmp::Reverse(weight(hash)));
         for (_, listing) in rest {
@@ -94,9 +94,9 @@
     }
 }
 
-/// Owners in the order in which a workspace's statements try them, out of the one for all:
-/// its own choice among those of the caller's failure domain, then among the others. A
-/// connection serves one workspace only, so that each keeps to few owners.
+/// Returns a group's owners in the order in which a workspace's statements try them: those of
+/// the caller's failure domain first, each part in an order of the workspace's own. A connection
+/// serves a single workspace, so a workspace should keep to few owners.
 pub fn workspace_order(owners: &[Listing], domain: &str, workspace: &str) -> Vec<Listing> {
     let seed = xxh3_64(workspace.as_bytes());
     let weight = |listing: &Listing| xxh3_64_with_seed(listing.name.as_bytes(), seed);
@@ -105,10 +105,9 @@
     ordered
 }
 
-/// How many boxes own a group: as many as are declared, or where none are, as many as
-/// its members' connections allow when each has the fewest that serve, and no more than
-/// are `useful`. Each owner looks at the members, and the fewer
-/// share the statements, the more their answers tell.
+/// Returns how many boxes own a group: the declared number, or if none is declared, as many as
+/// can each get [`MIN_CONNECTION_SHARE`] connections to a member, limited to `useful`. Every
+/// owner probes the members, and sees more of their answers the fewer owners there are.
 pub fn owner_count(declared: u32, connections: u32, useful: u32, boxes: usize) -> usize {
     if declared > 0 {
         return declared as usize;
@@ -117,23 +116,20 @@
     allowed.min(useful as usize).clamp(1, boxes.max(1))
 }
 
-/// Owners for each slot of a member: each brings two statements at most, and most are
-/// idle at any moment.
+/// Maximum number of owners for each slot of a member. An owner with the minimum share runs two
+/// statements on the member at most, and most owners are idle at any moment.
 const OWNERS_PER_SLOT: u32 = 4;
 
-/// The same where each connection serves one workspace: the fewer owners share a member's
-/// connections, the more workspaces find one of theirs open. With 78 workspaces before 29
-/// connections and 2 slots, mean worth over five days was 0.763 with four owners a slot,
-/// 0.781 with two, and 0.755 with one and a half.
+/// The same where each connection serves a single workspace. With fewer owners, each holds more
+/// of a member's connections, and more workspaces find one of theirs open.
 const KEYED_OWNERS_PER_SLOT: u32 = 2;
 
-/// Connections to a member that an owner needs: one that holds a transaction, and
-/// another.
+/// Connections to a member that an owner needs: one for an open transaction, and one more.
 pub const MIN_CONNECTION_SHARE: usize = 2;
 
-/// Connections to one member that each owner may hold.
+/// Returns how many connections to a member each owner may hold.
 ///
-/// A tenth is kept in reserve for the moments when two lists of boxes differ.
+/// A reserve covers the time during which boxes have different lists, and so different owners.
 pub fn connection_share(connections: u32, owners: u32) -> usize {
     const RESERVE_PERCENT: u32 = 10;
     let usable = connections - connections * RESERVE_PERCENT / 100;
--- a/src/decisions/partition.rs
+++ b/src/decisions/partition.rs
@@ -1,13 +1,13 @@
-//! Whether a box is cut off, so that callers are better served by others.
+//! Detects whether a network partition separates this box from the majority of its groups.
 //!
-//! An owner sees by itself whether it reaches a majority of its groups' members. A
-//! box that does not own every group asks owners of the others, but only while
-//! something speaks for a cut: it would cost each box questions to all owners.
+//! An owner knows by itself whether it reaches a majority of a group's members. A box that
+//! doesn't own every group also asks owners of the others, but only while it suspects a
+//! partition, since asking all the time would load every owner.
 //!
-//! A balancer turns to other failure domains only once every box of the lost one says that
-//! it is not ready. So a box that finds all other domains silent warns a few neighbours, who
-//! look and ask at once and warn others in turn: the domain is handed over as one. A warning
-//! is no verdict; each box goes by what it sees and by owners' words.
+//! A balancer leaves a failure domain only once all boxes of that domain report that they aren't
+//! ready. A box that gets no answer from any other domain therefore alerts a few boxes of its
+//! own domain, which check at once and alert others in turn. An alert alone decides nothing:
+//! each box relies on its own groups and on the replies of owners.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,38 +18,37 @@
 
 use crate::borders::roster::Listing;
 
-/// Time between two rounds of questions: short against the seconds that a balancer
-/// takes to turn to others.
-const AGAIN: Duration = Duration::from_millis(500);
-/// The same after a neighbour's warning: it may come before the owners know.
-const SOON: Duration = Duration::from_millis(100);
-/// Time for which a refusal or a warning speaks for a cut.
-const DOUBT: Duration = Duration::from_secs(2);
-/// Neighbours that are warned because they come next by name: followed from box to box,
-/// they are the whole failure domain.
-const NEXT: usize = 2;
-/// Neighbours that are warned besides, at random: the number of those who know grows with
-/// each hop.
-const AT_RANDOM: usize = 2;
-
-/// What a box's own groups show.
+/// Time between two queries to owners; shorter than the seconds a balancer takes to fail over.
+const QUERY_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two queries after an alert, which may arrive before the owners have noticed.
+const ALERTED_QUERY_INTERVAL: Duration = Duration::from_millis(100);
+/// Time for which a refusal or an alert keeps a partition suspected, and minimum time between
+/// two rounds of alerts.
+const SUSPICION_PERIOD: Duration = Duration::from_secs(2);
+/// Number of alerted boxes that follow this box by name. Together these links form a ring, so
+/// an alert reaches the whole failure domain.
+const NEXT_TARGETS: usize = 2;
+/// Number of alerted boxes that are chosen at random, which makes alerts spread exponentially.
+const RANDOM_TARGETS: usize = 2;
+
+/// How many groups there are, and which of them this box owns and reaches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Groups there are.
+    /// All groups.
     pub groups: usize,
-    /// Groups this box owns.
+    /// Groups that this box owns.
     pub owned: usize,
-    /// The list of boxes, and so of owners, is not just filling.
+    /// Whether the list of boxes, which determines the owners, is no longer filling.
     pub list_settled: bool,
-    /// Owned groups of whose members it reaches a majority.
+    /// Owned groups whose majority this box reaches.
     pub with_majority: usize,
-    /// Owned groups of whose members it reaches none; it has not found out yet about
-    /// the rest.
+    /// Owned groups whose majority this box doesn't reach. The remaining owned groups are
+    /// undetermined.
     pub without_majority: usize,
 }
 
 impl Counts {
-    /// What its own groups tell by themselves, if they tell enough.
+    /// Whether the box is partitioned, if its own groups suffice to tell.
     fn verdict(&self) -> Option<bool> {
         if self.with_majority > 0 {
             return Some(false);
@@ -58,150 +57,153 @@
     }
 }
 
-/// When members of another failure domain last answered, and last did not.
+/// When members of another failure domain last answered and last failed to answer.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sight {
-    heard: Option<Duration>,
-    missed: Option<Duration>,
+struct Contact {
+    answered: Option<Duration>,
+    failed: Option<Duration>,
 }
 
-impl Sight {
-    fn is_lost(&self) -> bool {
-        self.missed > self.heard
+impl Contact {
+    fn is_silent(&self) -> bool {
+        self.failed > self.answered
     }
 }
 
-/// Whether this box is cut off.
+/// Tracks whether this box is partitioned.
 #[derive(Clone, Debug, Default)]
 pub struct Monitor {
-    /// Other failure domains in which this box watches members.
-    far: BTreeMap<Arc<str>, Sight>,
-    /// When neighbours were last warned that all of these are silent.
-    told_of: Option<Duration>,
-    view: Counts,
-    /// When an exchange last failed as in a cut.
+    /// Other failure domains that have members this box watches.
+    other_domains: BTreeMap<Arc<str>, Contact>,
+    /// When this box last alerted others of its failure domain.
+    alerted: Option<Duration>,
+    counts: Counts,
+    /// When a request last failed because no majority or no owner could be reached.
     refused: Option<Duration>,
-    /// When a neighbour last said that it is cut off.
-    warned: Option<Duration>,
-    asked: Option<Duration>,
-    /// An owner has said something since the start of this box.
-    told: bool,
-    cut_off: bool,
+    /// When another box of the failure domain last sent an alert.
+    alert_received: Option<Duration>,
+    queried: Option<Duration>,
+    /// Whether any owner has given a definite reply since this box started.
+    owner_replied: bool,
+    partitioned: bool,
 }
 
 impl Monitor {
     pub fn is_partitioned(&self) -> bool {
-        self.cut_off
+        self.partitioned
     }
 
-    /// Takes what the box's own groups show.
-    pub fn update_counts(&mut self, view: Counts, now: Duration) {
-        if view.without_majority > self.view.without_majority {
-            // What others see is worth knowing at once.
-            self.warned = Some(now);
+    /// Updates the state of the box's own groups.
+    pub fn update_counts(&mut self, counts: Counts, now: Duration) {
+        if counts.without_majority > self.counts.without_majority {
+            // Has the owners of other groups queried at once.
+            self.alert_received = Some(now);
         }
-        self.view = view;
-        if let Some(verdict) = view.verdict() {
-            self.cut_off = verdict;
+        self.counts = counts;
+        if let Some(verdict) = counts.verdict() {
+            self.partitioned = verdict;
         }
     }
 
-    /// An owner reached no majority of its group, or no owner was reached.
+    /// Records that an owner reached no majority of its group, or that no owner was reached.
     pub fn record_refusal(&mut self, now: Duration) {
         self.refused = Some(now);
     }
 
-    /// A box of the same failure domain finds the others silent. Whether the neighbours are
-    /// to be warned too: they have not been of late.
+    /// Records an alert from another box of the same failure domain. Returns whether this box
+    /// should alert others in turn, as it hasn't done so recently.
     pub fn record_alert(&mut self, now: Duration) -> bool {
-        self.warned = Some(now);
-        self.tells_now(now)
+        self.alert_received = Some(now);
+        self.try_start_alerts(now)
     }
 
-    /// A member of another failure domain answered.
+    /// Records that a member of another failure domain answered.
     pub fn record_answer(&mut self, domain: &Arc<str>, now: Duration) {
-        match self.far.get_mut(domain) {
-            Some(sight) => sight.heard = Some(now),
+        match self.other_domains.get_mut(domain) {
+            Some(contact) => contact.answered = Some(now),
             None => {
-                let sight = Sight {
-                    heard: Some(now),
-                    missed: None,
+                let contact = Contact {
+                    answered: Some(now),
+                    failed: None,
                 };
-                self.far.insert(domain.clone(), sight);
+                self.other_domains.insert(domain.clone(), contact);
             }
         }
     }
 
-    /// A member of another failure domain did not answer in time. Whether all the others are
-    /// silent now, so that the neighbours are to be warned.
+    /// Records that a member of another failure domain didn't answer in time. Returns whether
+    /// this box should alert others, as all other domains are silent.
     pub fn record_failure(&mut self, domain: &Arc<str>, now: Duration) -> bool {
-        self.far.entry(domain.clone()).or_default().missed = Some(now);
-        self.far.values().all(Sight::is_lost) && self.tells_now(now)
+        self.other_domains.entry(domain.clone()).or_default().failed = Some(now);
+        self.other_domains.values().all(Contact::is_silent) && self.try_start_alerts(now)
     }
 
-    fn tells_now(&mut self, now: Duration) -> bool {
-        let rested = self.told_of.is_none_or(|told| now >= told + DOUBT);
-        if rested {
-            self.told_of = Some(now);
+    /// Starts a round of alerts unless the last one was recent. Returns whether it was started.
+    fn try_start_alerts(&mut self, now: Duration) -> bool {
+        let allowed = self
+            .alerted
+            .is_none_or(|alerted| now >= alerted + SUSPICION_PERIOD);
+        if allowed {
+            self.alerted = Some(now);
         }
-        rested
+        allowed
     }
 
-    /// When owners are to be asked next, if at all.
+    /// Returns when to query owners next, if a query is needed.
     pub fn query_due(&self, now: Duration) -> Option<Duration> {
-        if self.view.verdict().is_some() {
+        if self.counts.verdict().is_some() {
             return None;
         }
-        let doubt = self.refused.max(self.warned);
-        let doubted = doubt.is_some_and(|since| now < since + DOUBT);
-        // A box that starts again in a cut failure domain is to know it before callers
-        // do: alone in calling itself ready, it would get all of the domain's. When all
-        // boxes start for the first time, all would ask the few that the list names by then.
-        let fresh = !self.told && self.view.list_settled;
-        let wanted = self.cut_off || self.view.owned > 0 || doubted || fresh;
-        let pause = match self.warned > self.asked && !self.cut_off {
-            true => SOON,
-            false => AGAIN,
+        let suspicion = self.refused.max(self.alert_received);
+        let suspected = suspicion.is_some_and(|since| now < since + SUSPICION_PERIOD);
+        // A box that restarts in a partitioned domain must find out before it reports ready:
+        // as the only ready box, it would get all callers of the domain. On the very first
+        // start it waits for the list to settle, or all boxes would query the first few listed.
+        let unconfirmed = !self.owner_replied && self.counts.list_settled;
+        let needed = self.partitioned || self.counts.owned > 0 || suspected || unconfirmed;
+        let interval = match self.alert_received > self.queried && !self.partitioned {
+            true => ALERTED_QUERY_INTERVAL,
+            false => QUERY_INTERVAL,
         };
-        let next = self.asked.map_or(now, |asked| asked + pause);
-        wanted.then_some(next)
+        let next = self.queried.map_or(now, |queried| queried + interval);
+        needed.then_some(next)
     }
 
-    /// Owners are being asked.
+    /// Records that owners are being queried.
     pub fn record_query(&mut self, now: Duration) {
-        self.asked = Some(now);
+        self.queried = Some(now);
     }
 
-    /// Takes the owners' words: whether each reaches a majority of its group, as far as
-    /// they can tell. Those that have just started can't, and would bring back a whole
-    /// failure domain in the middle of a cut.
-    pub fn record_replies(&mut self, words: &[Option<bool>]) {
-        let told = words.iter().flatten();
-        if told.clone().count() == 0 {
+    /// Updates the verdict from the replies of owners: whether each reaches a majority of its
+    /// group, none if it can't tell. Undetermined replies are ignored: they come from owners
+    /// that have just started, and would end the state of a domain that is still partitioned.
+    pub fn record_replies(&mut self, replies: &[Option<bool>]) {
+        let known = replies.iter().flatten();
+        if known.clone().count() == 0 {
             return;
         }
-        self.told = true;
-        if self.view.verdict().is_some() {
+        self.owner_replied = true;
+        if self.counts.verdict().is_some() {
             return;
         }
-        self.cut_off = told.clone().all(|reached| !reached);
+        self.partitioned = known.clone().all(|reached| !reached);
     }
 }
 
-/// The boxes of the same failure domain that a box warns.
+/// Selects the boxes of the same failure domain that the box `name` alerts.
 pub fn alert_targets<'a>(
     boxes: &'a [Listing],
     name: &str,
     domain: &str,
-    dice: &mut impl Rng,
+    rng: &mut impl Rng,
 ) -> Vec<&'a Listing> {
-    let near = |listing: &&Listing| *listing.domain == *domain && *listing.name != *name;
-    let mut ring: Vec<&Listing> = boxes.iter().filter(near).collect();
+    let is_candidate = |listing: &&Listing| *listing.domain == *domain && *listing.name != *name;
+    let mut ring: Vec<&Listing> = boxes.iter().filter(is_candidate).collect();
     ring.sort_unstable_by(|a, b| a.name.cmp(&b.name));
     let start = ring.partition_point(|listing| *listing.name < *name);
     ring.rotate_left(start);
-    let mut warned: Vec<&Listing> = ring.iter().take(NEXT).copied().collect();
-    let rest = ring.into_iter().skip(NEXT);
-    warned.extend(rest.choose_multiple(dice, AT_RANDOM));
-    warned
+    let mut targets: Vec<&Listing> = ring.iter().take(NEXT_TARGETS).copied().collect();
+    let rest = ring.into_iter().skip(NEXT_TARGETS);
+    targets.extend(rest.choose_multiple(rng, RANDOM_TARGETS));
+    targets
 }
--- a/src/decisions/readers.rs
+++ b/src/decisions/readers.rs
@@ -1,13 +1,13 @@
-//! Who reads the table for whom.
+//! Decides which boxes of a failure domain poll the platform's table, and which follow a peer.
 //!
-//! Each question to the table has its price, and a change wakes every box that waits
-//! for one. So in a failure domain with many boxes a few of them read the table, and
-//! the others ask those. A box that hears nothing fresh from them reads by itself: a
-//! reader that is frozen or cut off holds up nobody for long.
+//! Each call to the table has a cost, and a change wakes every box that waits for it. In a
+//! failure domain with many boxes, a few of them (the readers) poll the table, and the others
+//! (the followers) ask the readers. A follower that gets no recent state from any reader polls
+//! the table itself, so that a frozen or partitioned reader delays it only briefly.
 //!
-//! That holds from a box's first moment on: it reads the list of boxes, and gives the
-//! readers that it names a moment to answer before it reads the rest. When a whole system
-//! starts for the first time nobody is listed yet, so the list gets time to fill.
+//! A starting box first reads the list of boxes, and lets the listed readers answer before it
+//! polls the rest. When a whole system starts for the first time no box is listed yet, so every
+//! box waits for the list to fill.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,51 +18,45 @@
 use crate::borders::roster::Listing;
 use crate::borders::table::Polling;
 
-/// Boxes of one failure domain that each read by themselves: below, two readers would
-/// save little.
-const SMALL: usize = 4;
-/// Readers of a larger failure domain, at least: one may be down.
-const LEAST_READERS: usize = 2;
-/// Boxes for each further reader: what one passes on stays well below what it serves.
+/// Size of a failure domain up to which each box polls for itself.
+const MAX_BOXES_WITHOUT_READERS: usize = 4;
+/// Minimum number of readers, so that one may be down.
+const MIN_READERS: usize = 2;
+/// Maximum number of boxes for each reader, which bounds the bytes that a reader passes on.
 const BOXES_PER_READER: usize = 16;
-/// Part of the time in which a change has to be in force, in percent, after which what
-/// readers tell is too old and a box reads by itself. The rest is for the reading: 0.8 s of
-/// three seconds.
+/// Percentage of [`Settings::apply`] after which a reader's state is stale. The rest is left for
+/// polling the table.
 const STALE_PERCENT: u32 = 73;
-/// Time for which a reader that told nothing fresh is not asked.
-const SHUN: Duration = Duration::from_secs(1);
-/// The same while a box starts: its readers may be starting too, a few moments later.
-const SHUN_AT_START: Duration = Duration::from_millis(60);
-/// Time that readers get at a box's start before it reads by itself: boxes that start
-/// together do so within 0.3 s, and a reader has to read first. A box that starts again
-/// beside others then reads the list alone, in one or two calls.
-const START_GRACE: Duration = Duration::from_millis(450);
-/// Time in which the list of boxes fills when a whole system starts for the first time:
-/// most list themselves within a second, and no caller is there yet. Before, 195 boxes made
-/// 2,595 calls in their first start.
-const GATHER: Duration = Duration::from_millis(1_800);
-
-/// What a box's way of reading follows from.
+/// Time for which a reader is skipped after a failure or a stale answer.
+const READER_BACKOFF: Duration = Duration::from_secs(1);
+/// The same while this box starts, as its readers may be starting too.
+const READER_BACKOFF_AT_START: Duration = Duration::from_millis(60);
+/// Time that readers get to answer when this box starts, as readers that start at the same time
+/// have to read the table first.
+const READER_WAIT: Duration = Duration::from_millis(450);
+/// Time for the list of boxes to fill when a whole system starts for the first time.
+const ROSTER_WAIT: Duration = Duration::from_millis(1_800);
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Time in which an accepted change has to be in force.
+    /// Time within which an accepted change must be in force.
     pub apply: Duration,
-    /// Time at the start in which nothing is read but the list of boxes.
+    /// Time after the start during which only the list of boxes is read.
     pub roster_wait: Duration,
-    /// Time at the start, after that, in which readers may still answer.
+    /// Time after `roster_wait` during which readers may still answer.
     pub reader_wait: Duration,
 }
 
 impl Settings {
-    /// Those of a box that joins a system, or starts with a new one.
+    /// Returns the settings of a box that joins a running system, or starts with a new one.
     pub fn new(apply: Duration, first_start: bool) -> Self {
         Self {
             apply,
             roster_wait: match first_start {
-                true => GATHER,
+                true => ROSTER_WAIT,
                 false => Duration::ZERO,
             },
-            reader_wait: START_GRACE,
+            reader_wait: READER_WAIT,
         }
     }
 }
@@ -77,59 +71,59 @@
     }
 }
 
-/// Boxes that read the table for a failure domain; none where each reads by itself.
+/// Selects the readers of a failure domain; none where each box polls for itself.
 pub fn choose_readers<'a>(boxes: &'a [Listing], domain: &str) -> Vec<&'a Listing> {
-    let present = |listing: &&Listing| *listing.domain == *domain && !listing.leaving;
-    let mut present: Vec<&Listing> = boxes.iter().filter(present).collect();
-    if present.len() <= SMALL {
+    let is_candidate = |listing: &&Listing| *listing.domain == *domain && !listing.leaving;
+    let mut candidates: Vec<&Listing> = boxes.iter().filter(is_candidate).collect();
+    if candidates.len() <= MAX_BOXES_WITHOUT_READERS {
         return Vec::new();
     }
-    let count = present.len().div_ceil(BOXES_PER_READER);
-    // Those with the wider links first: changes may be large.
-    present.sort_by_key(|l| (std::cmp::Reverse(l.link_mbps), xxh3_64(l.name.as_bytes())));
-    present.truncate(count.max(LEAST_READERS));
-    present
+    let count = candidates.len().div_ceil(BOXES_PER_READER);
+    // Boxes with faster links first, as changes may be large.
+    candidates.sort_by_key(|l| (std::cmp::Reverse(l.link_mbps), xxh3_64(l.name.as_bytes())));
+    candidates.truncate(count.max(MIN_READERS));
+    candidates
 }
 
-/// What a box does about reading.
+/// Role of a box in its failure domain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Role {
-    /// The list of boxes is not known.
+    /// The list of boxes is not known yet.
     #[default]
     Unknown,
-    /// Reads for itself.
+    /// Polls for itself.
     Alone,
-    /// Reads for others too.
+    /// Polls for itself and its followers.
     Reader,
-    /// Asks readers.
+    /// Asks the readers.
     Follower,
 }
 
-/// Reading as one box does it.
+/// Decides when this box polls the table itself, and which reader it asks.
 #[derive(Debug, Default)]
 pub struct Schedule {
     settings: Settings,
-    /// When the box began to read.
-    began: Duration,
+    started: Duration,
     role: Role,
-    /// Addresses of the readers, while this box asks them.
+    /// Addresses of the readers; empty unless this box is a follower.
     readers: Vec<Arc<str>>,
-    next_reader: usize,
-    shunned: HashMap<Arc<str>, Duration>,
-    /// The newest moment whose state of the table is known here.
-    informed: Option<Duration>,
+    next_index: usize,
+    /// Readers to skip, each until the given time.
+    backoffs: HashMap<Arc<str>, Duration>,
+    /// Latest time at which the local state is known to match the table.
+    current_at: Option<Duration>,
 }
 
 impl Schedule {
     pub fn new(settings: Settings, now: Duration) -> Self {
         Self {
             settings,
-            began: now,
+            started: now,
             ..Self::default()
         }
     }
 
-    /// Takes a new list of boxes.
+    /// Updates the role and the readers from a list of boxes.
     pub fn set_boxes(&mut self, boxes: &[Listing], name: &str, domain: &str) {
         let chosen = choose_readers(boxes, domain);
         self.role = match chosen.iter().any(|reader| *reader.name == *name) {
@@ -145,11 +139,11 @@
         };
     }
 
-    /// How this box is to read the table itself.
+    /// Returns how this box polls the table.
     pub fn polling(&self, now: Duration) -> Polling {
-        let gathers = now < self.began + self.settings.roster_wait;
+        let awaits_roster = now < self.started + self.settings.roster_wait;
         match self.role {
-            _ if gathers => Polling::Paused,
+            _ if awaits_roster => Polling::Paused,
             Role::Alone => Polling::Normal,
             Role::Reader => Polling::Frequent,
             Role::Unknown | Role::Follower if now < self.paused_until() => Polling::Paused,
@@ -157,59 +151,63 @@
         }
     }
 
-    /// Until when the table may rest by what is known here: until that is too old, or until
-    /// readers have had their time at the start.
+    /// Returns until when a follower need not poll: until its state is stale, and at the start
+    /// until the readers have had time to answer.
     pub fn paused_until(&self) -> Duration {
-        let fresh = self.informed.map(|informed| informed + self.stale());
-        self.started_at().max(fresh.unwrap_or_default())
+        let stale_at = self
+            .current_at
+            .map(|current_at| current_at + self.max_age());
+        self.start_end().max(stale_at.unwrap_or_default())
     }
 
-    /// When the box has started, as far as reading goes.
-    fn started_at(&self) -> Duration {
-        self.began + self.settings.roster_wait + self.settings.reader_wait
+    /// Returns when the start phase ends.
+    fn start_end(&self) -> Duration {
+        self.started + self.settings.roster_wait + self.settings.reader_wait
     }
 
-    /// Age from which on a box reads by itself.
-    fn stale(&self) -> Duration {
+    /// Returns the age from which state passed on by a reader is stale.
+    fn max_age(&self) -> Duration {
         self.settings.apply * STALE_PERCENT / 100
     }
 
-    /// Whether the box still starts: what it waits for may come at any moment.
+    /// Whether this box is still in its start phase.
     pub fn is_starting(&self, now: Duration) -> bool {
-        now < self.started_at()
+        now < self.start_end()
     }
 
-    /// The reader to ask next, in turn, so that one that hears nothing is found out.
+    /// Returns the reader to ask next. Readers take turns, so that one without recent state is
+    /// noticed.
     pub fn next_reader(&mut self, now: Duration) -> Option<Arc<str>> {
-        let shunned = &self.shunned;
-        let fit = |reader: &&Arc<str>| shunned.get(*reader).is_none_or(|until| now >= *until);
-        let fit: Vec<&Arc<str>> = self.readers.iter().filter(fit).collect();
-        let count = fit.len();
-        let chosen = fit
-            .get(self.next_reader % count.max(1))
+        let backoffs = &self.backoffs;
+        let available =
+            |reader: &&Arc<str>| backoffs.get(*reader).is_none_or(|until| now >= *until);
+        let available: Vec<&Arc<str>> = self.readers.iter().filter(available).collect();
+        let count = available.len();
+        let chosen = available
+            .get(self.next_index % count.max(1))
             .map(|reader| (*reader).clone());
-        self.next_reader = self.next_reader.wrapping_add(1);
+        self.next_index = self.next_index.wrapping_add(1);
         chosen
     }
 
-    /// A reader answered, and has itself heard from the table `age` ago; none when it
-    /// has not.
+    /// Records an answer of a reader; `age` is the time since the table answered the reader, if
+    /// known.
     pub fn record_answer(&mut self, reader: &Arc<str>, age: Option<Duration>, now: Duration) {
         match age {
-            Some(age) if age < self.stale() => {
-                self.informed = self.informed.max(Some(now.saturating_sub(age)));
+            Some(age) if age < self.max_age() => {
+                self.current_at = self.current_at.max(Some(now.saturating_sub(age)));
             }
             _ => self.record_failure(reader, now),
         }
     }
 
-    /// A reader gave no answer.
+    /// Records that a reader gave no answer or a stale one.
     pub fn record_failure(&mut self, reader: &Arc<str>, now: Duration) {
-        let shun = match self.is_starting(now) {
-            true => SHUN_AT_START,
-            false => SHUN,
+        let backoff = match self.is_starting(now) {
+            true => READER_BACKOFF_AT_START,
+            false => READER_BACKOFF,
         };
-        self.shunned.retain(|_, until| now < *until);
-        self.shunned.insert(reader.clone(), now + shun);
+        self.backoffs.retain(|_, until| now < *until);
+        self.backoffs.insert(reader.clone(), now + backoff);
     }
 }
--- a/src/decisions/route.rs
+++ b/src/decisions/route.rs
@@ -1,4 +1,4 @@
-//! Which replica may serve a read, and which of those does.
+//! Chooses the member that serves a read, among those that are recent enough.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,17 +9,17 @@
 
 use crate::decisions::position::Position;
 
-const MOST_SAMPLES: usize = 4096;
+const MAX_SAMPLES: usize = 4096;
 
-/// Where the primary was when: the measure of a replica's age.
+/// Log indexes of the primary over time, from which the age of a replica's data follows.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// (moment, index): the primary was at or before the index at the moment.
+    /// (time, index): the primary was at or before the index at the time.
     samples: VecDeque<(Duration, u64)>,
 }
 
 impl History {
-    /// The primary answered with `index` to a question put at `began`.
+    /// Records that the primary answered with `index` to a request sent at `began`.
     pub fn record(&mut self, began: Duration, index: u64) {
         if let Some(last) = self.samples.back_mut() {
             if began <= last.0 || index < last.1 {
@@ -30,13 +30,13 @@
                 return;
             }
         }
-        if self.samples.len() == MOST_SAMPLES {
+        if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
         }
         self.samples.push_back((began, index));
     }
 
-    /// Greatest index that the primary was seen at.
+    /// Returns the highest index that the primary has reported.
     pub fn newest_index(&self) -> Option<u64> {
         self.samples.back().map(|sample| sample.1)
     }
@@ -45,68 +45,69 @@
         self.samples.clear();
     }
 
-    /// Newest moment at which the primary is known to be before `index`.
+    /// Returns the latest time at which the primary is known to have been before `index`.
     pub fn last_before(&self, index: u64) -> Option<Duration> {
         let later = self.samples.partition_point(|sample| sample.1 < index);
         later.checked_sub(1).map(|i| self.samples[i].0)
     }
 
-    /// Newest moment at which the primary is known to be at or before `index`.
+    /// Returns the latest time at which the primary is known to have been at or before `index`.
     pub fn last_at_or_before(&self, index: u64) -> Option<Duration> {
         let newer = self.samples.partition_point(|sample| sample.1 <= index);
         newer.checked_sub(1).map(|i| self.samples[i].0)
     }
 }
 
-/// A member as the choice sees it.
+/// A member that may serve a read.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     pub member: usize,
     pub domain: Arc<str>,
     pub applied: Position,
-    /// None where it can't be told.
+    /// Age of the member's data, if known.
     pub age: Option<Duration>,
-    /// Time until it is expected to answer.
+    /// Time until the member is expected to answer.
     pub wait: Duration,
 }
 
-/// What a read demands of a replica.
+/// What a read demands of the member that serves it.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
+    /// Position that the member must have applied.
     pub floor: Position,
     pub max_age: Duration,
 }
 
 impl Demand {
     pub fn met_by(&self, candidate: &Candidate) -> bool {
-        let fresh = candidate.age.is_some_and(|age| age <= self.max_age);
-        fresh && candidate.applied.covers(self.floor)
+        let recent = candidate.age.is_some_and(|age| age <= self.max_age);
+        recent && candidate.applied.covers(self.floor)
     }
 }
 
-/// What a way to another failure domain costs, as a wait: one way between domains is
-/// 0.9 to 1.4 ms, and its bytes have a price.
-const FAR: Duration = Duration::from_millis(4);
+/// Penalty for a member of another failure domain, expressed as a wait: covers the network
+/// latency, and the price of traffic between failure domains.
+const CROSS_DOMAIN_PENALTY: Duration = Duration::from_millis(4);
 
-/// Picks the member that meets the demand and is expected to answer first from
-/// `domain`; one of them at random where several are.
+/// Chooses the member that meets the demand and is expected to answer first to a box in
+/// `domain`, at random among equals.
 pub fn choose_member(
     candidates: &[Candidate],
     demand: Demand,
     domain: &str,
-    dice: &mut SmallRng,
+    rng: &mut SmallRng,
 ) -> Option<usize> {
     let cost = |candidate: &Candidate| match *candidate.domain == *domain {
         true => candidate.wait,
-        false => candidate.wait + FAR,
+        false => candidate.wait + CROSS_DOMAIN_PENALTY,
     };
-    let fit = candidates.iter().filter(|c| demand.met_by(c));
-    let fit: Vec<(Duration, usize)> = fit.map(|c| (cost(c), c.member)).collect();
-    let least = fit.iter().map(|(cost, _)| *cost).min()?;
-    let best: Vec<usize> = fit
+    let eligible = candidates.iter().filter(|c| demand.met_by(c));
+    let eligible: Vec<(Duration, usize)> = eligible.map(|c| (cost(c), c.member)).collect();
+    let least = eligible.iter().map(|(cost, _)| *cost).min()?;
+    let best: Vec<usize> = eligible
         .iter()
         .filter(|(cost, _)| *cost == least)
         .map(|(_, member)| *member)
         .collect();
-    Some(best[dice.random_range(0..best.len())])
+    Some(best[rng.random_range(0..best.len())])
 }
