--- a/tests/unit/configuration.rs
+++ b/tests/unit/configuration.rs
@@ -1,4 +1,4 @@
-//! What a box knows of the table, by whichever way it learned it.
+//! A box's local state of the table, from the table itself and from peers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use serde_json::json;
 use slog::Logger;
 
-const DOOMED: &str = "resource/database/platform/doomed";
+const DELETED: &str = "resource/database/platform/doomed";
 const KEPT: &str = "resource/database/platform/kept";
 const MEMBER: &str = "resource/member/platform/g.i-1";
 const DUTY: &str = "duty/g";
@@ -50,14 +50,14 @@
     )
 }
 
-/// What a key holds; none where there is no such row.
+/// Returns the value of a key; none if there is no such row.
 fn value(store: &Store, key: &str) -> Option<u64> {
     let rows = store.scan(Revision::NONE).rows;
     let row = rows.iter().find(|row| *row.key == *key)?;
     row.value.as_ref()?["value"].as_u64()
 }
 
-/// Keys that have a value.
+/// Returns the keys that have a value.
 fn present(store: &Store) -> Vec<Arc<str>> {
     let rows = store.scan(Revision::NONE).rows.into_iter();
     let present = rows.filter(|row| row.value.is_some());
@@ -65,15 +65,15 @@
 }
 
 #[gtest]
-fn a_row_that_a_whole_section_lacks_is_gone_and_other_sections_stay() {
+fn a_row_missing_from_a_complete_section_is_deleted_and_other_sections_stay() {
     let mut store = Store::default();
-    let told = [
-        row(DOOMED, 4, Some(1)),
+    let rows = [
+        row(DELETED, 4, Some(1)),
         row(KEPT, 4, Some(1)),
         row(MEMBER, 2, Some(1)),
         row(DUTY, 3, Some(1)),
     ];
-    take(&mut store, &scan(4, &told));
+    take(&mut store, &scan(4, &rows));
     let read = whole(Section::Declarations, 6, &[row(KEPT, 6, Some(1))]);
     expect_that!(take(&mut store, &read), eq(true));
     let left: Vec<Arc<str>> = vec![DUTY.into(), KEPT.into(), MEMBER.into()];
@@ -81,30 +81,30 @@
 }
 
 #[gtest]
-fn a_peer_brings_nothing_back_that_was_removed_before_the_section_was_read() {
+fn a_peer_restores_no_row_that_was_deleted_before_the_section_was_read() {
     let mut store = Store::default();
     take(
         &mut store,
         &whole(Section::Declarations, 6, &[row(KEPT, 6, Some(1))]),
     );
-    let old = [row(DOOMED, 4, Some(1)), row(KEPT, 4, Some(0))];
+    let old = [row(DELETED, 4, Some(1)), row(KEPT, 4, Some(0))];
     expect_that!(take(&mut store, &scan(4, &old)), eq(false));
-    // Nor a peer that had read all of it by then.
+    // Nor does a peer that had read the complete section at an older revision.
     expect_that!(
         take(&mut store, &whole(Section::Declarations, 4, &old)),
         eq(false)
     );
     let left: Vec<Arc<str>> = vec![KEPT.into()];
     expect_that!(present(&store), eq(&left));
-    // What was written later is news.
+    // A later write is accepted.
     expect_that!(
-        take(&mut store, &scan(7, &[row(DOOMED, 7, Some(1))])),
+        take(&mut store, &scan(7, &[row(DELETED, 7, Some(1))])),
         eq(true)
     );
 }
 
 #[gtest]
-fn what_is_newer_than_a_whole_section_stays() {
+fn a_row_newer_than_a_complete_section_stays() {
     let mut store = Store::default();
     take(&mut store, &scan(8, &[row(KEPT, 8, Some(1))]));
     take(&mut store, &whole(Section::Declarations, 6, &[]));
@@ -113,7 +113,7 @@
 }
 
 #[gtest]
-fn what_a_store_tells_others_names_the_sections_that_it_knows_whole() {
+fn the_scan_of_a_store_names_its_complete_sections() {
     let mut reader = Store::default();
     take(
         &mut reader,
@@ -122,7 +122,7 @@
     let mut other = Store::default();
     take(
         &mut other,
-        &scan(4, &[row(DOOMED, 4, Some(1)), row(KEPT, 4, Some(1))]),
+        &scan(4, &[row(DELETED, 4, Some(1)), row(KEPT, 4, Some(1))]),
     );
     expect_that!(other.digest(), not(eq(reader.digest())));
     take(&mut other, &reader.scan(Revision::NONE));
@@ -130,45 +130,44 @@
     expect_that!(other.digest(), eq(reader.digest()));
 }
 
-/// A row that is removed, added and removed again. A box that read the table before the
-/// second time and after it never heard of that; a peer that stopped in between tells of it
-/// under a revision later than that of the only removal that the box knows.
+/// Guards against a row being restored by a peer that read it between two deletions, of which
+/// this box saw only the first: the peer's revision is later than that of this deletion.
 #[gtest]
-fn a_row_that_came_and_went_between_two_readings_is_not_brought_back() {
+fn a_row_created_and_deleted_between_two_scans_is_not_restored() {
     let mut store = Store::default();
-    take(&mut store, &scan(4, &[row(DOOMED, 4, Some(1))]));
+    take(&mut store, &scan(4, &[row(DELETED, 4, Some(1))]));
     take(&mut store, &whole(Section::Declarations, 5, &[]));
     take(&mut store, &whole(Section::Declarations, 9, &[]));
-    let late = [row(DOOMED, 7, Some(2))];
+    let late = [row(DELETED, 7, Some(2))];
     take(&mut store, &whole(Section::Declarations, 7, &late));
     take(&mut store, &scan(7, &late));
-    expect_that!(value(&store, DOOMED), none());
+    expect_that!(value(&store, DELETED), none());
 }
 
-/// A value that is changed and changed back. Whoever reads before and after sees no change,
-/// and tells it under the revision of the first time.
+/// A box that reads a value before a change and after its reversal reports the value under the
+/// earlier revision.
 #[gtest]
-fn a_whole_section_holds_against_a_change_that_was_taken_back() {
+fn a_complete_section_overrides_a_change_that_was_reverted() {
     let mut store = Store::default();
     take(&mut store, &scan(6, &[row(KEPT, 6, Some(2))]));
     let read = whole(Section::Declarations, 9, &[row(KEPT, 4, Some(1))]);
     take(&mut store, &read);
     expect_that!(value(&store, KEPT), some(eq(1)));
-    // The change has no way back, though its revision is the greater one.
+    // The reverted change is not accepted again, although its revision is higher.
     take(&mut store, &scan(6, &[row(KEPT, 6, Some(2))]));
     expect_that!(value(&store, KEPT), some(eq(1)));
 }
 
-/// What could have happened: a box that follows others never learns under which revision a record
-/// stands in the copy, since its content is the same, and every claim of it is refused.
+/// Guards against a follower keeping the old revision of a record after the table was restored
+/// from a copy with the same content: all its claims would be refused.
 #[gtest]
-fn a_follower_learns_the_revision_of_a_record_in_a_copy() {
+fn a_follower_learns_the_revision_of_a_record_in_a_restored_table() {
     let held = |era| Row {
         key: DUTY.into(),
         revision: Revision::new(era, 20),
         value: Some(json!({ "holder": "b", "generation": 100 })),
     };
-    let told = |era| Scan {
+    let scan_in = |era| Scan {
         head: Revision::new(era, 21),
         rows: vec![held(era)],
         ..Scan::default()
@@ -176,26 +175,26 @@
     let mut reader = Store::default();
     let mut follower = Store::default();
     for store in [&mut reader, &mut follower] {
-        take(store, &told(1));
+        take(store, &scan_in(1));
     }
     let taken = reader.taken();
-    take(&mut reader, &told(2));
+    take(&mut reader, &scan_in(2));
     let answer = reader.follow(follower.digest(), Some(taken));
     take(&mut follower, &answer);
     let known = follower.snapshot().duties["g"].revision;
     expect_that!(known, eq(Revision::new(2, 20)));
 }
 
-/// What could have happened: a box orders under a lower number than one that was ordered under
-/// before, since an older copy of the table names an earlier holder of the duty, or none.
+/// Guards against a promotion with a lower fencing token than an earlier one, after the table was
+/// restored from a copy with an earlier holder of the duty, or none.
 #[gtest]
-fn the_generation_of_a_duty_does_not_fall_with_an_older_copy() {
+fn restoring_an_older_copy_does_not_lower_the_generation_of_a_duty() {
     let held = |era, number, holder: &str, generation: u64| Row {
         key: DUTY.into(),
         revision: Revision::new(era, number),
         value: Some(json!({ "holder": holder, "generation": generation })),
     };
-    let told = |store: &mut Store, whole: bool, at: Revision, rows: &[Row]| {
+    let accept = |store: &mut Store, whole: bool, at: Revision, rows: &[Row]| {
         let whole = whole.then_some((Section::Records, at));
         let scan = Scan {
             head: at,
@@ -208,14 +207,14 @@
     };
     let mut store = Store::default();
     let rows = [held(1, 25, "b", 100)];
-    told(&mut store, false, Revision::new(1, 25), &rows);
+    accept(&mut store, false, Revision::new(1, 25), &rows);
     let older = [held(2, 20, "a", 40)];
-    let known = told(&mut store, true, Revision::new(2, 21), &older);
+    let known = accept(&mut store, true, Revision::new(2, 21), &older);
     expect_that!(*known.holder, eq("b"));
     expect_that!(known.generation, eq(100));
-    // A change of the row names the one that is there.
+    // The revision is that of the current row, so that a conditional write succeeds.
     expect_that!(known.revision, eq(Revision::new(2, 20)));
-    let known = told(&mut store, true, Revision::new(3, 15), &[]);
+    let known = accept(&mut store, true, Revision::new(3, 15), &[]);
     expect_that!(known.generation, eq(100));
     expect_that!(known.revision, eq(Revision::new(3, 0)));
     let claim = Claim {
@@ -227,7 +226,7 @@
     };
     expect_that!(claim.stands(store.snapshot().duties.get("g")), eq(false));
     let later = [held(3, 30, "c", 120)];
-    let known = told(&mut store, false, Revision::new(3, 30), &later);
+    let known = accept(&mut store, false, Revision::new(3, 30), &later);
     expect_that!(*known.holder, eq("c"));
 }
 
@@ -242,17 +241,17 @@
     format!("resource/database/platform/d{key}").into()
 }
 
-/// A box that reads a document and asks other boxes for it.
+/// A box that reads a document from the table and from other boxes.
 #[derive(Default)]
 struct Reader {
     store: Store,
-    /// Each row as the box read it, under the revision at which it saw it change.
+    /// Each row with the revision at which the box saw it change.
     read: [(u64, Option<u64>); KEYS],
-    /// Version that the box has read or has been told whole.
+    /// Latest version that the box has read, or received completely.
     floor: u64,
-    /// Counts its starts.
+    /// Number of restarts.
     life: u64,
-    /// How far each other box, in which life, has told what it took.
+    /// For each other box, the life and the position of its last answer.
     cursors: [(u64, u64); BOXES],
 }
 
@@ -263,9 +262,9 @@
                 *known = (version, *now);
             }
         }
-        let told = self.read.iter().enumerate();
-        let told = told.filter(|(_, (revision, _))| *revision > 0);
-        let rows: Vec<Row> = told
+        let seen = self.read.iter().enumerate();
+        let seen = seen.filter(|(_, (revision, _))| *revision > 0);
+        let rows: Vec<Row> = seen
             .map(|(key, (revision, value))| row(&name(key), *revision, *value))
             .collect();
         take(
@@ -282,7 +281,7 @@
         };
     }
 
-    /// Whether a row goes behind what the box has read or was told whole.
+    /// Whether a row is older than the version that the box has read, or received completely.
     fn is_behind(&self, key: usize, history: &[Document]) -> bool {
         let known = value(&self.store, &name(key));
         let since = &history[self.floor as usize..];
@@ -290,33 +289,33 @@
     }
 }
 
-/// An answer on its way.
-struct Told {
+/// An answer in transit.
+struct Delivery {
     from: usize,
     life: u64,
     to: usize,
     asked: u64,
-    /// Version that a whole answer is as new as.
+    /// Version of a complete answer.
     floor: u64,
     taken: u64,
     scan: Scan,
 }
 
-/// Boxes around a document that changes.
-struct Crowd {
+/// Boxes that share a changing document.
+struct System {
     random: ChaCha8Rng,
     history: Vec<Document>,
     boxes: [Reader; BOXES],
-    told: Vec<Told>,
+    in_transit: Vec<Delivery>,
 }
 
-impl Crowd {
+impl System {
     fn new(seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             history: vec![[None; KEYS]],
             boxes: Default::default(),
-            told: Vec::new(),
+            in_transit: Vec::new(),
         }
     }
 
@@ -331,7 +330,7 @@
             }
             3 if self.random.random_bool(0.3) => {
                 self.boxes[at].restart();
-                self.told.retain(|told| told.to != at);
+                self.in_transit.retain(|delivery| delivery.to != at);
             }
             3 | 4 => self.ask(at, peer, false),
             5 => self.ask(at, peer, true),
@@ -351,8 +350,8 @@
         let asked = self.boxes[to].store.digest();
         let (life, taken) = self.boxes[to].cursors[from];
         let peer = &self.boxes[from];
-        let goes_on = follows && taken > 0 && life == peer.life;
-        let scan = match goes_on {
+        let continues = follows && taken > 0 && life == peer.life;
+        let scan = match continues {
             true => peer.store.follow(asked, Some(taken)),
             false if follows => peer.store.follow(asked, None),
             false => peer.store.answer(&Question {
@@ -360,8 +359,8 @@
                 digest: asked,
             }),
         };
-        let is_whole = !goes_on || scan.same_as.is_some();
-        self.told.push(Told {
+        let is_whole = !continues || scan.same_as.is_some();
+        self.in_transit.push(Delivery {
             from,
             life: peer.life,
             to,
@@ -372,33 +371,34 @@
         });
     }
 
-    /// Answers come in any order.
+    /// Delivers any one of the answers in transit.
     fn deliver(&mut self) {
-        if self.told.is_empty() {
+        if self.in_transit.is_empty() {
             return;
         }
-        let next = self.random.random_range(0..self.told.len());
-        let told = self.told.swap_remove(next);
-        let at = &mut self.boxes[told.to];
-        let holds = told.scan.same_as.is_none() || at.store.digest() == told.asked;
-        take(&mut at.store, &told.scan);
-        at.cursors[told.from] = (told.life, told.taken);
-        if holds {
-            at.floor = at.floor.max(told.floor);
+        let next = self.random.random_range(0..self.in_transit.len());
+        let delivery = self.in_transit.swap_remove(next);
+        let at = &mut self.boxes[delivery.to];
+        let is_complete = delivery.scan.same_as.is_none() || at.store.digest() == delivery.asked;
+        take(&mut at.store, &delivery.scan);
+        at.cursors[delivery.from] = (delivery.life, delivery.taken);
+        if is_complete {
+            at.floor = at.floor.max(delivery.floor);
         }
     }
 }
 
-/// Whatever boxes tell each other, and however late it comes, none goes behind what it has
-/// read or was told whole.
+/// Guards against a box falling back to an older version because of outdated or reordered answers
+/// of other boxes.
 #[gtest]
-fn no_box_goes_back_behind_what_it_has_read() {
+fn no_box_falls_back_behind_what_it_has_read() {
     for seed in 0..SEEDS {
-        let mut crowd = Crowd::new(seed);
+        let mut system = System::new(seed);
         for step in 0..STEPS {
-            crowd.step();
-            for (key, at) in (0..KEYS).flat_map(|key| crowd.boxes.iter().map(move |at| (key, at))) {
-                let behind = at.is_behind(key, &crowd.history);
+            system.step();
+            for (key, at) in (0..KEYS).flat_map(|key| system.boxes.iter().map(move |at| (key, at)))
+            {
+                let behind = at.is_behind(key, &system.history);
                 assert!(!behind, "seed {seed}, step {step}: {}", name(key));
             }
         }
--- a/tests/unit/copies.rs
+++ b/tests/unit/copies.rs
@@ -1,7 +1,7 @@
-//! A store that comes back as older copies of itself, at drawn moments, beside changes, members
-//! that leave, claims, boxes that start again and news between boxes, in virtual time.
+//! Simulates a store that is restored from older copies of itself at random times, among changes,
+//! departures of members, claims of the duty, restarts of boxes and exchanges between boxes.
 //!
-//! `PROPTEST_CASES=20000 cargo test --release --test unit copies::` plays more schedules.
+//! `PROPTEST_CASES=20000 cargo test --release --test unit copies::` runs more schedules.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use slog::Logger;
 use tokio::time::Instant;
 
-/// Small, as the smaller deployments have, and as the larger ones have.
+/// Numbers of boxes.
 const SIZES: [usize; 3] = [3, 9, 71];
 const MEMBERS: usize = 4;
 const DATABASES: usize = 4;
@@ -37,19 +37,19 @@
 enum Step {
     /// The operator declares these databases.
     Change(BTreeSet<usize>),
-    /// A member joins, says that it leaves, or is gone.
+    /// A member joins, announces its departure, or is removed.
     Member(Index),
-    /// A box takes the duty.
+    /// A box claims the duty.
     Claim(Index),
     /// A box reads a table.
     Read(Index, usize),
     /// A box asks another for its rows.
     Ask(Index, Index),
     Restart(Index),
-    /// The store becomes a copy from so many writes ago.
-    Older(u64),
-    /// What the operator and members wrote is written again.
-    Again,
+    /// The store is restored from a copy that lacks this many writes.
+    Restore(u64),
+    /// The operator and the members repeat the writes that were lost.
+    RepeatLostWrites,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -58,11 +58,11 @@
         3 => changed.prop_map(Step::Change),
         2 => any::<Index>().prop_map(Step::Member),
         2 => any::<Index>().prop_map(Step::Claim),
-        8 => (any::<Index>(), 0..3_usize).prop_map(|(at, source)| Step::Read(at, source)),
+        8 => (any::<Index>(), 0..3_usize).prop_map(|(index, source)| Step::Read(index, source)),
         4 => (any::<Index>(), any::<Index>()).prop_map(|(to, from)| Step::Ask(to, from)),
         1 => any::<Index>().prop_map(Step::Restart),
-        1 => (0..12_u64).prop_map(Step::Older),
-        1 => Just(Step::Again),
+        1 => (0..12_u64).prop_map(Step::Restore),
+        1 => Just(Step::RepeatLostWrites),
     ];
     proptest::collection::vec(step, 20..300)
 }
@@ -73,7 +73,7 @@
     era: u64,
     number: u64,
     written: Vec<(u64, Place, Option<Value>)>,
-    /// What the operator and members wrote last.
+    /// Last value that the operator or a member wrote.
     truth: BTreeMap<Place, Option<Value>>,
 }
 
@@ -104,13 +104,13 @@
         row.unwrap_or_default()
     }
 
-    fn older(&mut self, by: u64) {
+    fn restore(&mut self, by: u64) {
         self.era += 1;
         self.number = self.number.saturating_sub(by);
         self.written.retain(|(number, _, _)| *number <= self.number);
     }
 
-    fn again(&mut self) {
+    fn repeat_lost_writes(&mut self) {
         for (place, value) in self.truth.clone() {
             if self.row(&place).1 != value {
                 self.put(place, value);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Rows of a table after a number, or those that are there.
+    /// Returns the rows of a table after a number, or all present rows if none.
     fn read(&self, table: &str, after: Option<u64>) -> Rows {
         let rows = self.rows().into_iter().filter(|(place, (number, value))| {
             let told = after.map_or(value.is_some(), |after| *number > after);
@@ -139,7 +139,7 @@
     Logger::root(slog::Discard, slog::o!())
 }
 
-/// What a box keeps of the store.
+/// A box's local state of the store.
 struct Reader {
     name: Arc<str>,
     cache: Cache,
@@ -147,10 +147,10 @@
     store: Store,
     departures: Departures,
     snapshot: Snapshot,
-    /// Newest version that was in force in this life.
+    /// Newest version that was in force since the box started.
     version: u64,
     generation: u64,
-    /// Members of which this box has heard, by their word, that they leave.
+    /// Members whose announced departure this box has seen.
     left: BTreeSet<Arc<str>>,
 }
 
@@ -202,7 +202,7 @@
         self.snapshot.duties.get(GROUP)
     }
 
-    /// Databases in force and the document's version, which one of them carries.
+    /// Returns the document's version, which the database `mark` carries, and the databases.
     fn document(&self) -> (u64, BTreeSet<Arc<str>>) {
         let databases = &self.snapshot.databases;
         let marked = databases.get("mark").map(|mark| mark.timeout_ms);
@@ -212,7 +212,7 @@
         )
     }
 
-    /// Members in use.
+    /// Returns the members in use.
     fn used(&self) -> BTreeSet<Arc<str>> {
         let snapshot = self.snapshot.clone();
         let applied = snapshot.with_departures(self.departures.known());
@@ -223,13 +223,13 @@
     }
 }
 
-/// Boxes before a store.
+/// A store and its boxes.
 struct World {
     tables: Tables,
     boxes: Vec<Reader>,
     /// Databases of each version.
     documents: BTreeMap<u64, BTreeSet<Arc<str>>>,
-    /// How far members have come: joined, leaving, gone.
+    /// State of each member: 0 absent, 1 ready, 2 draining, 3 removed.
     members: [u8; MEMBERS],
     turn: u64,
     orders: Vec<u64>,
@@ -251,25 +251,25 @@
         world
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         self.now += STEP;
         let now = self.now;
         let count = self.boxes.len();
         match step {
             Step::Change(databases) => self.change(databases),
             Step::Member(member) => self.member(member.index(MEMBERS)),
-            Step::Claim(at) => self.claim(at.index(count)),
-            Step::Read(at, source) => {
+            Step::Claim(index) => self.claim(index.index(count)),
+            Step::Read(index, source) => {
                 let source = Source::ALL[*source];
-                self.boxes[at.index(count)].read(&self.tables, source, now);
+                self.boxes[index.index(count)].read(&self.tables, source, now);
             }
             Step::Ask(to, from) => self.ask(to.index(count), from.index(count)),
-            Step::Restart(at) => {
-                let at = at.index(count);
-                self.boxes[at] = Reader::new(at);
+            Step::Restart(index) => {
+                let index = index.index(count);
+                self.boxes[index] = Reader::new(index);
             }
-            Step::Older(by) => self.tables.older(*by),
-            Step::Again => self.tables.again(),
+            Step::Restore(by) => self.tables.restore(*by),
+            Step::RepeatLostWrites => self.tables.repeat_lost_writes(),
         }
     }
 
@@ -310,10 +310,10 @@
         self.tables.declare(place, value);
     }
 
-    /// A box takes the duty under a condition, and orders if that was granted.
-    fn claim(&mut self, at: usize) {
+    /// A box claims the duty with a conditional write, and orders a promotion if it succeeds.
+    fn claim(&mut self, index: usize) {
         let place: Place = ("larkfall", format!("duty/{GROUP}").into());
-        let claimant = &self.boxes[at];
+        let claimant = &self.boxes[index];
         self.turn += 1;
         let ballot = Ballot {
             replaced: 1,
@@ -321,12 +321,12 @@
         };
         let mut duty = taken(claimant.duty(), &claimant.name, &ballot);
         let (number, value) = self.tables.row(&place);
-        let there = value.map_or(0, |_| number);
-        if duty.revision.number() != there {
+        let row_number = value.map_or(0, |_| number);
+        if duty.revision.number() != row_number {
             return;
         }
         // The store compares numbers alone.
-        let granted = there == 0 || duty.revision.era() == self.tables.era;
+        let granted = row_number == 0 || duty.revision.era() == self.tables.era;
         let written = self.tables.put(place, Some(json!(duty)));
         if granted {
             duty.revision = written;
@@ -345,59 +345,64 @@
     }
 
     fn check(&mut self) -> Result<(), TestCaseError> {
-        for at in &mut self.boxes {
-            let (version, databases) = at.document();
+        for reader in &mut self.boxes {
+            let (version, databases) = reader.document();
             prop_assert!(
-                version >= at.version,
+                version >= reader.version,
                 "{}: {version} after {}",
-                at.name,
-                at.version
+                reader.name,
+                reader.version
             );
             let declared = self.documents.get(&version);
             prop_assert!(declared.is_none_or(|declared| *declared == databases));
-            at.version = version;
-            let generation = at.duty().map_or(0, |duty| duty.generation);
+            reader.version = version;
+            let generation = reader.duty().map_or(0, |duty| duty.generation);
             prop_assert!(
-                generation >= at.generation,
+                generation >= reader.generation,
                 "{}: a lower generation",
-                at.name
+                reader.name
             );
-            at.generation = generation;
-            let used = at.used();
-            let back: Vec<_> = used.intersection(&at.left).collect();
-            prop_assert!(back.is_empty(), "{}: {back:?} used again", at.name);
-            // One that is listed no more without its word may have lapsed, and come back.
-            let said = at.departures.known().filter(|(member, _)| member.leaving);
-            at.left.extend(said.map(|(member, _)| member.name.clone()));
+            reader.generation = generation;
+            let used = reader.used();
+            let back: Vec<_> = used.intersection(&reader.left).collect();
+            prop_assert!(back.is_empty(), "{}: {back:?} used again", reader.name);
+            // A member that was removed without an announcement may return.
+            let said = reader
+                .departures
+                .known()
+                .filter(|(member, _)| member.leaving);
+            reader
+                .left
+                .extend(said.map(|(member, _)| member.name.clone()));
         }
         let rises = self.orders.is_sorted_by(|earlier, later| earlier < later);
         prop_assert!(rises, "orders {:?}", self.orders);
         Ok(())
     }
 
-    /// Once all is written again and read, every box knows what was declared last, and may
-    /// take the duty.
+    /// Checks that every box reaches the last declared state, and may claim the duty, once all
+    /// lost writes have been repeated and read.
     fn settle(&mut self) -> Result<(), TestCaseError> {
-        self.tables.again();
+        self.tables.repeat_lost_writes();
         let newest = *self.documents.keys().next_back().expect("one");
         let members = self.members.iter().enumerate();
         let ready = members.filter(|(_, state)| **state == 1);
         let ready: BTreeSet<Arc<str>> = ready.map(|(i, _)| format!("i-{i}").into()).collect();
-        for at in &mut self.boxes {
+        for reader in &mut self.boxes {
             for source in Source::ALL {
-                at.read(&self.tables, source, self.now);
+                reader.read(&self.tables, source, self.now);
             }
-            prop_assert_eq!(at.document().0, newest);
-            prop_assert_eq!(at.used(), ready.clone());
+            prop_assert_eq!(reader.document().0, newest);
+            prop_assert_eq!(reader.used(), ready.clone());
             let listed = Key::parse("member/platform/db1.i-0").expect("a key");
-            let known = at.snapshot.member(&listed).is_some();
+            let known = reader.snapshot.member(&listed).is_some();
             prop_assert_eq!(known, matches!(self.members[0], 1 | 2));
-            let condition = at.duty().map_or(Revision::NONE, |duty| duty.revision);
+            let condition = reader.duty().map_or(Revision::NONE, |duty| duty.revision);
             let place: Place = ("larkfall", format!("duty/{GROUP}").into());
             let (number, value) = self.tables.row(&place);
             prop_assert_eq!(condition.number(), value.map_or(0, |_| number));
             let current = condition.number() == 0 || condition.era() == self.tables.era;
-            prop_assert!(current, "{}: no claim is ever granted", at.name);
+            prop_assert!(current, "{}: no claim is ever granted", reader.name);
         }
         Ok(())
     }
@@ -410,16 +415,16 @@
         ..ProptestConfig::with_cases(160)
     })]
 
-    /// However often the store goes back, in the life of a box no document, generation or word
-    /// that it knew does; orders rise; and in the end every box knows what was declared last.
+    /// Guards against a restored store turning back a box's documents, generations or departures,
+    /// or the numbers of promotion orders, and against boxes that never reach the last state.
     #[test]
-    fn no_box_goes_back_with_the_store(
+    fn restoring_the_store_turns_back_no_box(
         size in proptest::sample::select(&SIZES[..]),
         steps in steps(),
     ) {
         let mut world = World::new(size);
         for step in &steps {
-            world.take(step);
+            world.apply(step);
             world.check()?;
         }
         world.settle()?;
--- a/tests/unit/declarations.rs
+++ b/tests/unit/declarations.rs
@@ -19,12 +19,12 @@
 }
 
 #[gtest]
-fn good_declarations_have_no_findings() {
+fn valid_declarations_have_no_findings() {
     expect_that!(findings(GOOD), is_empty());
 }
 
 #[gtest]
-fn three_mistakes_are_three_findings_with_their_lines() {
+fn each_mistake_is_reported_with_its_line() {
     let text = format!(
         "{GOOD}slots = 0\ncolour = \"red\"\n\n[[member]]\npartner = \"huerto\"\n\
         group = \"field\"\nname = \"m0\"\nsql = \"nowhere\"\ncontrol = \"127.0.0.1:1\"\ndomain = \"d0\"\n"
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn a_missing_group_is_found_at_the_field_that_names_it() {
+fn a_missing_group_is_reported_at_the_field_that_names_it() {
     let text =
         format!("{GOOD}[[read]]\npartner = \"huerto\"\ngroup = \"field\"\nname = \"panel\"\n");
     let found = findings(&text);
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn a_syntax_error_has_its_line() {
+fn a_syntax_error_is_reported_with_its_line() {
     expect_that!(
         findings("[[partner]]\nname = \n"),
         elements_are![contains_substring("a.toml:2: syntax:")]
@@ -63,7 +63,7 @@
 const HASH: &str = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
 
 #[gtest]
-fn a_workspace_has_keys_that_no_other_has() {
+fn two_workspaces_cannot_share_a_key() {
     let workspace = |name: &str| {
         format!(
             "[[workspace]]\npartner = \"huerto\"\nname = \"{name}\"\nkeys = [\"{HASH}\"]\n\
@@ -84,7 +84,7 @@
 }
 
 #[gtest]
-fn a_key_in_the_clear_is_no_digest() {
+fn a_plaintext_key_is_rejected_and_not_shown() {
     let text = format!(
         "{GOOD}[[workspace]]\npartner = \"huerto\"\nname = \"\"\nkeys = [\"secret-key\"]\n"
     );
--- a/tests/unit/events.rs
+++ b/tests/unit/events.rs
@@ -8,7 +8,7 @@
 use slog::Drain;
 
 #[gtest]
-fn the_catalogue_and_the_code_agree() {
+fn the_event_catalogue_matches_the_code() {
     let page = include_str!("../../docs/EVENTS.md");
     let rows: Vec<String> = page
         .lines()
@@ -32,7 +32,7 @@
     expect_that!(rows, eq(&code));
 }
 
-/// Takes log lines as JSON.
+/// Collects log lines as JSON.
 #[derive(Clone, Default)]
 struct Lines(Arc<Mutex<Vec<u8>>>);
 
@@ -48,9 +48,9 @@
     }
 }
 
-/// It stood in the catalogue and was never written.
+/// Guards against the event being documented but never logged.
 #[gtest]
-fn an_operators_change_is_logged_by_resource_and_revision() {
+fn an_operators_change_is_logged_with_resource_and_revision() {
     let lines = Lines::default();
     let drain = Mutex::new(slog_json::Json::default(lines.clone())).fuse();
     let log = slog::Logger::root(drain, slog::o!());
--- a/tests/unit/main.rs
+++ b/tests/unit/main.rs
@@ -1,4 +1,4 @@
-//! Tests of single modules and of the decisions in virtual time.
+//! Unit tests of modules, and simulations of the decisions in virtual time.
 
 mod classify;
 mod configuration;
@@ -15,8 +15,8 @@
 mod limits;
 mod orders;
 mod owners;
+mod partition;
 mod randomised;
-mod reach;
 mod readers;
 mod restarted;
 mod settings;
--- a/tests/unit/owners.rs
+++ b/tests/unit/owners.rs
@@ -31,12 +31,12 @@
 }
 
 #[gtest]
-fn one_box_more_or_less_moves_few_groups() {
+fn adding_or_removing_a_box_moves_few_groups() {
     let (all, fewer) = (Ranking::new(&boxes(420)), Ranking::new(&boxes(419)));
-    let near = domains(&["d0", "d1", "d2"]);
+    let preferred = domains(&["d0", "d1", "d2"]);
     let moved = (0..840).filter(|group| {
         let id = format!("g{group}");
-        all.owners(&id, 3, &near) != fewer.owners(&id, 3, &near)
+        all.owners(&id, 3, &preferred) != fewer.owners(&id, 3, &preferred)
     });
     expect_that!(moved.count(), le(30));
 }
@@ -56,16 +56,16 @@
 }
 
 #[gtest]
-fn shares_leave_a_reserve() {
+fn connection_shares_leave_a_reserve() {
     expect_that!(connection_share(24, 3), eq(7));
     expect_that!(connection_share(40, 3), eq(12));
     expect_that!(connection_share(2, 3), eq(1));
 }
 
 #[gtest]
-fn owners_follow_from_connections_and_slots_where_none_are_declared() {
+fn the_number_of_owners_follows_from_connections_and_slots_unless_declared() {
     use larkfall::decisions::owners::owner_count;
-    // All of nine boxes; as many as connections allow; as many as slots need.
+    // Limited by the boxes, by the connections, and by the slots.
     expect_that!(owner_count(0, 23, 12, 9), eq(9));
     expect_that!(owner_count(0, 12, 12, 71), eq(5));
     expect_that!(owner_count(0, 283, 12, 72), eq(12));
@@ -74,7 +74,7 @@
 }
 
 #[gtest]
-fn only_when_every_box_owns_a_group_do_all_lists_agree_on_its_owners() {
+fn a_group_is_owned_by_all_boxes_only_if_it_has_as_many_owners() {
     let listing = |name: &str| Listing {
         name: name.into(),
         address: name.into(),
--- a/tests/unit/readers.rs
+++ b/tests/unit/readers.rs
@@ -1,4 +1,4 @@
-//! Who reads the table for whom.
+//! Choice of the boxes that poll the table, and of those that follow a reader.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,28 +24,28 @@
     (0..count).map(|i| listing(i, "d", 10)).collect()
 }
 
-/// The known of a box that reads nothing itself, and a reader's address.
+/// Returns the schedule of a follower, and a reader's address.
 fn follower(boxes: &[Listing]) -> (Schedule, Arc<str>) {
     let chosen = choose_readers(boxes, "d");
     let first = chosen[0].address.clone();
     let chosen: Vec<&Arc<str>> = chosen.iter().map(|reader| &reader.name).collect();
     let follower = boxes.iter().find(|l| !chosen.contains(&&l.name));
-    let mut known = Schedule::default();
-    known.set_boxes(boxes, &follower.expect("not all are readers").name, "d");
-    (known, first)
+    let mut schedule = Schedule::default();
+    schedule.set_boxes(boxes, &follower.expect("not all are readers").name, "d");
+    (schedule, first)
 }
 
 #[gtest]
-fn in_small_failure_domains_every_box_reads_for_itself() {
-    let mut known = Schedule::default();
-    known.set_boxes(&boxes(4), "b0", "d");
-    expect_that!(known.polling(ms(0)), eq(Polling::Normal));
-    expect_that!(known.next_reader(ms(0)), none());
+fn in_small_failure_domains_every_box_polls_for_itself() {
+    let mut schedule = Schedule::default();
+    schedule.set_boxes(&boxes(4), "b0", "d");
+    expect_that!(schedule.polling(ms(0)), eq(Polling::Normal));
+    expect_that!(schedule.next_reader(ms(0)), none());
     expect_that!(choose_readers(&boxes(4), "d"), is_empty());
 }
 
 #[gtest]
-fn in_large_ones_few_do_and_those_with_the_widest_links_first() {
+fn in_large_failure_domains_the_boxes_with_the_fastest_links_are_readers() {
     let mut listed = boxes(27);
     listed.push(listing(30, "d", 200));
     listed.push(listing(31, "other", 1_000));
@@ -61,106 +61,106 @@
         choose_readers(&listed, "d")[0].name.as_ref(),
         not(eq("b30"))
     );
-    let mut known = Schedule::default();
-    known.set_boxes(&boxes(27), &choose_readers(&boxes(27), "d")[0].name, "d");
-    expect_that!(known.polling(ms(0)), eq(Polling::Frequent));
+    let mut schedule = Schedule::default();
+    schedule.set_boxes(&boxes(27), &choose_readers(&boxes(27), "d")[0].name, "d");
+    expect_that!(schedule.polling(ms(0)), eq(Polling::Frequent));
 }
 
 #[gtest]
-fn a_box_rests_only_on_what_is_fresh() {
-    let (mut known, reader) = follower(&boxes(9));
-    expect_that!(known.polling(ms(0)), eq(Polling::Normal));
-    known.record_answer(&reader, Some(ms(500)), ms(10_000));
-    expect_that!(known.polling(ms(10_000)), eq(Polling::Paused));
-    let stale = known.paused_until();
-    expect_that!(stale, lt(ms(12_500)));
-    expect_that!(known.polling(stale), eq(Polling::Normal));
-    // What is old already proves nothing, and is not asked for again at once.
-    known.record_answer(&reader, Some(ms(5_000)), ms(20_000));
-    known.record_answer(&reader, None, ms(20_000));
-    expect_that!(known.polling(ms(20_000)), eq(Polling::Normal));
+fn a_follower_pauses_polling_only_while_its_state_is_recent() {
+    let (mut schedule, reader) = follower(&boxes(9));
+    expect_that!(schedule.polling(ms(0)), eq(Polling::Normal));
+    schedule.record_answer(&reader, Some(ms(500)), ms(10_000));
+    expect_that!(schedule.polling(ms(10_000)), eq(Polling::Paused));
+    let stale_after = schedule.paused_until();
+    expect_that!(stale_after, lt(ms(12_500)));
+    expect_that!(schedule.polling(stale_after), eq(Polling::Normal));
+    // A stale answer doesn't pause polling.
+    schedule.record_answer(&reader, Some(ms(5_000)), ms(20_000));
+    schedule.record_answer(&reader, None, ms(20_000));
+    expect_that!(schedule.polling(ms(20_000)), eq(Polling::Normal));
 }
 
 #[gtest]
-fn readers_are_asked_in_turn_and_silent_ones_last() {
-    let (mut known, _) = follower(&boxes(9));
+fn readers_take_turns_and_failed_ones_are_skipped() {
+    let (mut schedule, _) = follower(&boxes(9));
     let now = ms(1_000);
     let (first, second) = (
-        known.next_reader(now).unwrap(),
-        known.next_reader(now).unwrap(),
+        schedule.next_reader(now).unwrap(),
+        schedule.next_reader(now).unwrap(),
     );
     expect_that!(first, not(eq(&second)));
-    known.record_failure(&first, now);
+    schedule.record_failure(&first, now);
     for _ in 0..3 {
-        expect_that!(known.next_reader(now), some(eq(&second)));
+        expect_that!(schedule.next_reader(now), some(eq(&second)));
     }
-    known.record_failure(&second, now);
-    expect_that!(known.next_reader(now), none());
+    schedule.record_failure(&second, now);
+    expect_that!(schedule.next_reader(now), none());
     let later = now + Duration::from_secs(2);
-    expect_that!(known.next_reader(later), some(anything()));
+    expect_that!(schedule.next_reader(later), some(anything()));
 }
 
-/// A follower as it starts, with a reader's address.
-fn starting(first_start: bool) -> (Schedule, Arc<str>) {
+/// Returns the schedule of a starting follower, and a reader's address.
+fn starting_follower(first_start: bool) -> (Schedule, Arc<str>) {
     let listed = boxes(9);
     let first = choose_readers(&listed, "d")[0].address.clone();
     let settings = Settings::new(Duration::from_secs(3), first_start);
-    let mut known = Schedule::new(settings, ms(0));
-    known.set_boxes(&listed, "joined", "d");
-    (known, first)
+    let mut schedule = Schedule::new(settings, ms(0));
+    schedule.set_boxes(&listed, "joined", "d");
+    (schedule, first)
 }
 
-/// A box that starts beside others asks its readers first: before, each of 195 boxes made 13
-/// calls to the table at its start.
+/// Guards against many table calls when all boxes of a large system start.
 #[gtest]
-fn a_box_that_starts_gives_its_readers_a_moment_before_it_reads_by_itself() {
-    let (mut known, reader) = starting(false);
-    expect_that!(known.polling(ms(100)), eq(Polling::Paused));
-    // They may be starting too: one that is not up yet is asked again soon.
-    known.record_failure(&reader, ms(100));
-    let again = (100..300).find(|at| known.next_reader(ms(*at)) == Some(reader.clone()));
-    expect_that!(again, some(lt(200)));
-    expect_that!(known.polling(ms(1_000)), eq(Polling::Normal));
-    known.record_answer(&reader, Some(ms(0)), ms(1_000));
-    expect_that!(known.polling(ms(1_100)), eq(Polling::Paused));
+fn a_starting_box_waits_for_its_readers_before_it_polls() {
+    let (mut schedule, reader) = starting_follower(false);
+    expect_that!(schedule.polling(ms(100)), eq(Polling::Paused));
+    // A reader that fails is asked again soon, as it may be starting too.
+    schedule.record_failure(&reader, ms(100));
+    let retried_at = (100..300).find(|at| schedule.next_reader(ms(*at)) == Some(reader.clone()));
+    expect_that!(retried_at, some(lt(200)));
+    expect_that!(schedule.polling(ms(1_000)), eq(Polling::Normal));
+    schedule.record_answer(&reader, Some(ms(0)), ms(1_000));
+    expect_that!(schedule.polling(ms(1_100)), eq(Polling::Paused));
 }
 
-/// Nobody else would read for it.
 #[gtest]
-fn a_box_that_starts_reads_at_once_where_it_is_alone_or_a_reader_and_soon_where_it_knows_nobody() {
+fn a_starting_box_polls_at_once_unless_it_is_a_follower_or_knows_no_boxes() {
     let settings = Settings::new(Duration::from_secs(3), false);
-    let mut known = Schedule::new(settings, ms(0));
-    expect_that!(known.polling(ms(10)), eq(Polling::Paused));
-    expect_that!(known.polling(ms(1_000)), eq(Polling::Normal));
-    known.set_boxes(&boxes(4), "b0", "d");
-    expect_that!(known.polling(ms(10)), eq(Polling::Normal));
+    let mut schedule = Schedule::new(settings, ms(0));
+    expect_that!(schedule.polling(ms(10)), eq(Polling::Paused));
+    expect_that!(schedule.polling(ms(1_000)), eq(Polling::Normal));
+    schedule.set_boxes(&boxes(4), "b0", "d");
+    expect_that!(schedule.polling(ms(10)), eq(Polling::Normal));
     let reader = choose_readers(&boxes(9), "d")[0].name.clone();
-    known.set_boxes(&boxes(9), &reader, "d");
-    expect_that!(known.polling(ms(10)), eq(Polling::Frequent));
+    schedule.set_boxes(&boxes(9), &reader, "d");
+    expect_that!(schedule.polling(ms(10)), eq(Polling::Frequent));
 }
 
-/// Nobody is listed when a whole system starts for the first time.
+/// The list of boxes is still empty when a whole system starts for the first time.
 #[gtest]
-fn at_the_very_first_start_everybody_waits_for_the_list_to_fill() {
-    let (mut known, reader) = starting(true);
-    known.record_answer(&reader, Some(ms(0)), ms(0));
-    known.set_boxes(&boxes(4), "b0", "d");
-    expect_that!(known.polling(ms(1_000)), eq(Polling::Paused));
-    expect_that!(known.polling(ms(3_000)), eq(Polling::Normal));
+fn on_the_first_start_every_box_waits_for_the_list_to_fill() {
+    let (mut schedule, reader) = starting_follower(true);
+    schedule.record_answer(&reader, Some(ms(0)), ms(0));
+    schedule.set_boxes(&boxes(4), "b0", "d");
+    expect_that!(schedule.polling(ms(1_000)), eq(Polling::Paused));
+    expect_that!(schedule.polling(ms(3_000)), eq(Polling::Normal));
 }
 
-/// What may pass between a change and its taking effect decides how old news may be.
 #[gtest]
-fn what_readers_tell_is_fresh_for_most_of_the_time_that_a_change_has() {
-    for (apply, fresh, stale) in [(3_000, 2_000, 2_400), (6_000, 4_000, 4_800)] {
+fn the_maximum_age_of_a_readers_state_follows_from_the_time_to_apply_changes() {
+    for (apply, recent, stale_after) in [(3_000, 2_000, 2_400), (6_000, 4_000, 4_800)] {
         let settings = Settings {
             apply: ms(apply),
             ..Settings::default()
         };
-        let mut known = Schedule::new(settings, ms(0));
-        known.set_boxes(&boxes(9), "joined", "d");
-        known.record_answer(&"r".into(), Some(ms(0)), ms(10_000));
-        expect_that!(known.polling(ms(10_000 + fresh)), eq(Polling::Paused));
-        expect_that!(known.polling(ms(10_000 + stale)), eq(Polling::Normal));
+        let mut schedule = Schedule::new(settings, ms(0));
+        schedule.set_boxes(&boxes(9), "joined", "d");
+        schedule.record_answer(&"r".into(), Some(ms(0)), ms(10_000));
+        expect_that!(schedule.polling(ms(10_000 + recent)), eq(Polling::Paused));
+        expect_that!(
+            schedule.polling(ms(10_000 + stale_after)),
+            eq(Polling::Normal)
+        );
     }
 }
--- a/tests/unit/settings.rs
+++ b/tests/unit/settings.rs
@@ -19,10 +19,10 @@
 }
 
 #[gtest]
-fn a_flag_goes_before_its_variable() {
+fn a_flag_takes_precedence_over_its_variable() {
     let flags = [("name", "a"), ("domain", "d"), ("platform", "127.0.0.1:1")];
     let run = read(&flags, &[("LARKFALL_NAME", "b"), ("LARKFALL_POLL_MS", "7")]);
-    let run = run.expect("the settings are good");
+    let run = run.expect("the settings are valid");
     expect_that!(&*run.name, eq("a"));
     expect_that!(run.poll.as_millis(), eq(7));
 }
