--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -1,4 +1,5 @@
-//! The decisions. No I/O, no clock: events and a time come in, actions go out.
+//! The decision logic, free of I/O and clocks: functions take events and the current time, and
+//! return actions.
 
 pub mod budget;
 pub mod classify;
@@ -13,8 +14,8 @@
 pub mod latency;
 pub mod limit;
 pub mod owners;
+pub mod partition;
 pub mod position;
-pub mod reach;
 pub mod readers;
 pub mod retry_after;
 pub mod route;
--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -28,10 +28,10 @@
 use super::failover::{Failover, Step, Trigger};
 use super::fair::{Admission, Deadlines, Queue};
 use super::latency::Latency;
-use super::owners::{LEAST_SHARE, share};
+use super::owners::{MIN_CONNECTION_SHARE, connection_share};
 use super::position::Position;
-use super::route::{Candidate, Demand, History, choose};
-use crate::borders::member::{Bid, MemberError, Role, Status};
+use super::route::{Candidate, Demand, History, choose_member};
+use crate::borders::member::{Fence, MemberError, Role, Status};
 use crate::declarations::resource::{Durability, Member as MemberSpec};
 use crate::declarations::snapshot::Plan;
 
@@ -245,7 +245,7 @@
         now: Duration,
     ) -> Self {
         let owners = plan.group.owners.max(1);
-        let capacity = share(plan.group.connections, owners);
+        let capacity = connection_share(plan.group.connections, owners);
         let member = |spec: &MemberSpec| Member::new(spec.clone(), capacity, &settings, now);
         let members: Vec<Member> = plan.members.iter().map(member).collect();
         let mut group = Self {
@@ -287,7 +287,7 @@
 
     /// This owner's share of the connections to each member.
     pub fn connection_share(&self) -> usize {
-        share(self.plan.group.connections, self.owners)
+        connection_share(self.plan.group.connections, self.owners)
     }
 
     pub fn term(&self) -> u64 {
@@ -336,11 +336,11 @@
     }
 
     /// The bid that this owner's ballot of `term` sends to a member.
-    pub fn bid(&self, term: u64) -> Bid {
-        Bid {
+    pub fn bid(&self, term: u64) -> Fence {
+        Fence {
             term,
             replaced: self.replace.replaced_term(),
-            known: self.replace.promised_before_ballot(),
+            known_promise: self.replace.promised_before_ballot(),
         }
     }
 
@@ -394,7 +394,7 @@
             }
             Event::AnswerTimedOut { member, after } => {
                 self.members[member].latency.record_timeout(after, now);
-                self.members[member].detector.hurry(now);
+                self.members[member].detector.expedite_probe(now);
                 if self.members[member].spec.domain != self.domain {
                     self.probe_other_domains(now);
                 }
@@ -404,7 +404,7 @@
             Event::ProbeOtherDomains => self.probe_other_domains(now),
             Event::ConnectTimedOut { member } => {
                 self.members[member].probe_wanted = true;
-                self.members[member].detector.hurry(now);
+                self.members[member].detector.expedite_probe(now);
             }
             Event::ReplicaBehind { member } => {
                 self.members[member].applied = Position::ZERO;
@@ -413,7 +413,7 @@
             Event::OpinionRequested => {
                 // Owners other than the first probe rarely.
                 if let Some(primary) = self.replace.primary {
-                    self.members[primary].detector.hurry(now);
+                    self.members[primary].detector.expedite_probe(now);
                 }
             }
             Event::ConnectionLost { member } => self.record_connection_loss(member, now, &mut out),
@@ -491,7 +491,7 @@
         let domain = &self.domain;
         let members = self.members.iter_mut();
         for member in members.filter(|member| member.spec.domain != *domain) {
-            member.detector.hurry(now);
+            member.detector.expedite_probe(now);
         }
     }
 
@@ -514,7 +514,7 @@
         let never = Duration::MAX;
         let present = self.members.iter().filter(|member| !member.removed);
         let probes = present.map(|member| {
-            let due = member.detector.due();
+            let due = member.detector.probe_due();
             // A suspicion must be noticed even without other events.
             let silent = member.detector.deadline().filter(|_| !member.suspected);
             let due = silent.map_or(due, |deadline| due.min(deadline));
--- a/src/decisions/group/dispatch.rs
+++ b/src/decisions/group/dispatch.rs
@@ -170,7 +170,7 @@
         out: &mut Vec<Action>,
     ) {
         let candidates = self.candidates(now);
-        if let Some(member) = choose(&candidates, demand, &self.domain, &mut self.rng) {
+        if let Some(member) = choose_member(&candidates, demand, &self.domain, &mut self.rng) {
             self.probe_if_aging(&candidates, member, demand, now);
             return self.enqueue(request, member, now, out);
         }
@@ -283,7 +283,7 @@
             if member.removed || member.suspected || leaves || !follows {
                 continue;
             }
-            let moment = self.history.moment(member.applied.index);
+            let moment = self.history.last_at_or_before(member.applied.index);
             let moment = moment
                 .zip(confirmed)
                 .map(|(seen, confirmed)| seen.min(confirmed));
@@ -520,7 +520,7 @@
     ) {
         let primary = Some(member) == self.replace.primary;
         let known = &mut self.members[member];
-        known.detector.heard(began, now);
+        known.detector.record_answer(began, now);
         known.latency.record_answer(now.saturating_sub(began), now);
         if primary && proves_primary {
             self.record_in_term(member, began);
@@ -538,7 +538,7 @@
         let known = &mut self.members[member];
         known.applied = known.applied.max(position);
         if Some(member) == self.replace.primary {
-            self.history.observe(began, position.index);
+            self.history.record(began, position.index);
             return;
         }
         self.record_received(member, position.index);
--- a/src/decisions/group/membership.rs
+++ b/src/decisions/group/membership.rs
@@ -17,7 +17,8 @@
         };
         let group = &self.plan.group;
         let useful = (group.slots * per_slot).div_ceil(self.owners.max(1)) as usize;
-        self.connection_share().min(useful.max(LEAST_SHARE))
+        self.connection_share()
+            .min(useful.max(MIN_CONNECTION_SHARE))
     }
 
     /// Connections that this box may have to a member.
--- a/src/decisions/group/observation.rs
+++ b/src/decisions/group/observation.rs
@@ -25,7 +25,7 @@
             }
             Ok(_) => out.push(Action::Log(Note::ImplausibleReport { member })),
             Err(MemberError::Broken) => self.record_connection_loss(member, now, out),
-            Err(MemberError::Busy) => self.members[member].detector.heard(began, now),
+            Err(MemberError::Busy) => self.members[member].detector.record_answer(began, now),
             Err(_) => {}
         }
     }
@@ -48,7 +48,7 @@
         out: &mut Vec<Action>,
     ) {
         let known = &mut self.members[member];
-        known.detector.heard(began, now);
+        known.detector.record_answer(began, now);
         if known.connection_lost.is_some_and(|since| began >= since) {
             known.connection_lost = None;
         }
@@ -75,7 +75,7 @@
             self.record_unfenced(member, &status, began);
         }
         if Some(member) == self.replace.primary && status.promised == self.replace.term {
-            self.history.observe(began, status.log.index);
+            self.history.record(began, status.log.index);
         }
         let counted = self.replace.is_acceptor(member) && self.counts_for_lease(member, now);
         if counted && !self.is_demoted_primary(member) {
@@ -119,7 +119,7 @@
     /// nothing, and after a promotion it follows the new primary. So the replica was in the
     /// term at every moment at which the primary had not yet written the entry.
     pub(super) fn record_received(&mut self, member: usize, index: u64) {
-        if let Some(moment) = self.history.before(index) {
+        if let Some(moment) = self.history.last_before(index) {
             self.record_in_term(member, moment);
         }
     }
--- a/src/decisions/group/timers.rs
+++ b/src/decisions/group/timers.rs
@@ -99,7 +99,7 @@
         if any_new {
             // The other members may have failed for the same reason.
             for member in &mut self.members {
-                member.detector.hurry(now);
+                member.detector.expedite_probe(now);
             }
             self.requeue(now, out);
         }
@@ -230,7 +230,7 @@
     fn request_lease_probes(&mut self, now: Duration) {
         let lease = self.settings.replace.lease;
         let is_late = |seen: Option<Duration>| seen.is_none_or(|seen| now >= seen + lease / 2);
-        let newest = self.history.newest();
+        let newest = self.history.newest_index();
         // A member probed just before can show more only if the primary has written since.
         let helps = |member: &Member| {
             let shown = member.status().map(|status| status.log.index);
@@ -266,14 +266,14 @@
             if member.removed {
                 continue;
             }
-            let due = now >= member.detector.due();
+            let due = now >= member.detector.probe_due();
             let gap_over = member.last_probe.is_none_or(|probed| now >= probed + gap);
             let requested = member.probe_wanted && member.pending_probes == 0 && gap_over;
             if !due && !requested {
                 continue;
             }
             if due {
-                member.detector.sent(now);
+                member.detector.record_probe(now);
             }
             member.probe_wanted = false;
             member.pending_probes += 1;
--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -13,8 +13,8 @@
 
 use super::protocol::parse_position;
 use super::upstream::INTERNAL_ID;
-use crate::borders::member::{Bid, Member, MemberError, Members, Order, Role, Status, Stream};
-use crate::borders::upstream::{ConnectError, Task, Unrun, UpstreamError, Verdict};
+use crate::borders::member::{Fence, Member, MemberError, Members, Order, Role, Status, Stream};
+use crate::borders::upstream::{ConnectError, Rejection, Task, UpstreamError, Verdict};
 use crate::decisions::position::Position;
 use crate::declarations::resource::{Address, Member as Declared};
 use crate::http::{Call, Client};
@@ -58,7 +58,7 @@
 impl Control {
     async fn run_command(&self, text: &str) -> Result<Status, MemberError> {
         let answered = tokio::time::timeout(ANSWER_TIMEOUT, self.send_command(text)).await;
-        answered.map_err(|_| MemberError::Silent)?
+        answered.map_err(|_| MemberError::TimedOut)?
     }
 
     async fn send_command(&self, text: &str) -> Result<Status, MemberError> {
@@ -79,8 +79,8 @@
         self.pool.put(&self.member, connection);
         match answer.verdict {
             Verdict::Done => parse_status(&lines, applied),
-            Verdict::Unrun(Unrun::Busy) => Err(MemberError::Busy),
-            _ => Err(MemberError::Nonsense(lines)),
+            Verdict::Rejection(Rejection::Busy) => Err(MemberError::Busy),
+            _ => Err(MemberError::InvalidAnswer(lines)),
         }
     }
 
@@ -102,7 +102,7 @@
         let answered = self.client.call(call).await;
         answered
             .map(|_| ())
-            .map_err(|error| MemberError::Nonsense(error.to_string()))
+            .map_err(|error| MemberError::InvalidAnswer(error.to_string()))
     }
 }
 
@@ -110,23 +110,23 @@
     match error {
         ConnectError::Lost(_) => MemberError::Broken,
         ConnectError::Full(_) => MemberError::Busy,
-        ConnectError::Late => MemberError::Silent,
-        ConnectError::Stranger(why) => MemberError::Nonsense(why),
+        ConnectError::TimedOut => MemberError::TimedOut,
+        ConnectError::WrongMember(why) => MemberError::InvalidAnswer(why),
     }
 }
 
 fn upstream_error(error: UpstreamError) -> MemberError {
     match error {
         UpstreamError::Lost(_) => MemberError::Broken,
-        UpstreamError::Late => MemberError::Silent,
-        UpstreamError::Nonsense(why) => MemberError::Nonsense(why),
+        UpstreamError::TimedOut => MemberError::TimedOut,
+        UpstreamError::InvalidAnswer(why) => MemberError::InvalidAnswer(why),
     }
 }
 
 /// Parses a status row: role, term, received position, promised term, and fields that are not
 /// used (lag, busy slots, connections).
 pub fn parse_status(lines: &str, applied: Option<Position>) -> Result<Status, MemberError> {
-    let invalid = || MemberError::Nonsense(lines.to_owned());
+    let invalid = || MemberError::InvalidAnswer(lines.to_owned());
     let row = lines.strip_prefix("DATA ").ok_or_else(invalid)?;
     let fields: Vec<&str> = row.split_whitespace().collect();
     let [role, term, received, held, ..] = fields[..] else {
@@ -160,10 +160,10 @@
         self.run_command("STATUS").await
     }
 
-    async fn fence(&self, bid: &Bid) -> Result<Status, MemberError> {
+    async fn fence(&self, bid: &Fence) -> Result<Status, MemberError> {
         let term = bid.term;
         let known = self.status().await?;
-        if known.log.term > bid.replaced || known.promised > bid.known.max(bid.replaced) {
+        if known.log.term > bid.replaced || known.promised > bid.known_promise.max(bid.replaced) {
             let promised = known.promised;
             return Err(MemberError::Fenced { promised });
         }
@@ -176,7 +176,7 @@
                 promised: term,
                 ..status
             }),
-            Err(MemberError::Nonsense(_)) => {
+            Err(MemberError::InvalidAnswer(_)) => {
                 let promised = self.status().await?.promised;
                 Err(MemberError::Fenced { promised })
             }
@@ -210,13 +210,13 @@
                 return Ok(status);
             }
             // Only a refusal is final: an order without an answer may still take effect.
-            if let Err(MemberError::Nonsense(why)) = &ordered
+            if let Err(MemberError::InvalidAnswer(why)) = &ordered
                 && why.starts_with("status 4")
             {
-                return Err(MemberError::Nonsense(why.clone()));
+                return Err(MemberError::InvalidAnswer(why.clone()));
             }
         }
-        Err(MemberError::Silent)
+        Err(MemberError::TimedOut)
     }
 
     async fn follow(&self, term: u64, _: &Address) -> Result<Status, MemberError> {
@@ -228,11 +228,11 @@
         Ok(status)
     }
 
-    async fn release(&self) -> Result<(), MemberError> {
+    async fn release_fence(&self) -> Result<(), MemberError> {
         self.run_command("RESUME").await.map(|_| ())
     }
 
-    async fn gone(&self) {
+    async fn wait_until_gone(&self) {
         // Not observed here: the statements running on the member notice its loss first.
         std::future::pending().await
     }
--- a/src/platform/ports.rs
+++ b/src/platform/ports.rs
@@ -24,7 +24,7 @@
     let settings = table::Settings {
         apply: run.apply,
         start_at_rest: run.follow,
-        roster_delay: reader_settings.gather,
+        roster_delay: reader_settings.roster_wait,
     };
     let metrics: Rc<Metrics> = Rc::default();
     let mirror = Mirror::start(store, settings, metrics.clone(), log.clone());
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -20,8 +20,8 @@
 use tokio::time::Instant;
 
 use super::store::{Change, Rows, Store, StoreError};
-use crate::borders::roster::{Listing, Roster, Tagged};
-use crate::borders::table::{Commit, Pace, Revision, Scan, Table, TableError, Verdict, Write};
+use crate::borders::roster::{Listing, Listings, Roster};
+use crate::borders::table::{Commit, Polling, Revision, Scan, Table, TableError, Verdict, Write};
 use crate::events;
 use crate::metrics::Metrics;
 use cache::{Cache, LISTING_PREFIX, Written};
@@ -55,7 +55,7 @@
     full_reads: Cell<usize>,
     /// Whether the list of boxes was read.
     roster_read: Cell<bool>,
-    pace: watch::Sender<Pace>,
+    pace: watch::Sender<Polling>,
     /// When the operator's feed last answered.
     operator_answered: Cell<Option<Instant>>,
     settings: Settings,
@@ -89,8 +89,8 @@
     /// Starts to follow the store.
     pub fn start(store: Store, settings: Settings, metrics: Rc<Metrics>, log: Logger) -> Rc<Self> {
         let pace = match settings.start_at_rest {
-            true => Pace::Rest,
-            false => Pace::default(),
+            true => Polling::Paused,
+            false => Polling::default(),
         };
         let mirror = Rc::new(Self {
             store,
@@ -236,15 +236,15 @@
         }
     }
 
-    fn pace(&self) -> Pace {
+    fn pace(&self) -> Polling {
         *self.pace.borrow()
     }
 
     /// Waits while peers report changes instead of the store. Returns whether it had to wait.
     async fn wait_while_resting(&self) -> bool {
-        let rests = self.pace() == Pace::Rest;
+        let rests = self.pace() == Polling::Paused;
         let mut pace = self.pace.subscribe();
-        let awake = pace.wait_for(|pace| *pace != Pace::Rest).await;
+        let awake = pace.wait_for(|pace| *pace != Polling::Paused).await;
         awake.expect("the sender is dropped with the mirror");
         rests
     }
@@ -285,7 +285,7 @@
 
     /// Whether the store answers, or peers answer for it.
     fn is_up(&self) -> bool {
-        if self.pace() == Pace::Rest {
+        if self.pace() == Polling::Paused {
             return true;
         }
         let answering = self.answering.borrow();
@@ -328,25 +328,27 @@
 
 fn table_error(error: StoreError) -> TableError {
     match error {
-        StoreError::Malformed(why) => TableError::Nonsense(why),
-        other => TableError::Down(other.to_string()),
+        StoreError::Malformed(why) => TableError::InvalidAnswer(why),
+        other => TableError::Unavailable(other.to_string()),
     }
 }
 
 #[async_trait(?Send)]
 impl Table for Mirror {
     async fn head(&self) -> Result<Revision, TableError> {
-        let all = self.pace() == Pace::Rest || self.full_reads.get() >= Feed::ALL.len();
+        let all = self.pace() == Polling::Paused || self.full_reads.get() >= Feed::ALL.len();
         match self.is_up() && all {
             true => Ok(self.cache.borrow().head()),
-            false => Err(TableError::Down("the store gives no answer".to_owned())),
+            false => Err(TableError::Unavailable(
+                "the store gives no answer".to_owned(),
+            )),
         }
     }
 
     async fn scan(&self, _: Revision) -> Result<Scan, TableError> {
         let changes = self.cache.borrow_mut().take_changes();
         // Members without databases would pass for the complete configuration.
-        changes.ok_or_else(|| TableError::Down("the manifest was not read yet".to_owned()))
+        changes.ok_or_else(|| TableError::Unavailable("the manifest was not read yet".to_owned()))
     }
 
     async fn commit(&self, commit: &Commit) -> Result<Verdict, TableError> {
@@ -375,7 +377,7 @@
         }
     }
 
-    async fn news(&self, _: Duration) {
+    async fn wait_for_changes(&self, _: Duration) {
         if self.is_up() {
             return self.changed.notified().await;
         }
@@ -385,7 +387,7 @@
         }
     }
 
-    fn set_pace(&self, pace: Pace) {
+    fn set_polling(&self, pace: Polling) {
         let changed = self.pace.send_if_modified(|known| {
             let changed = *known != pace;
             *known = pace;
@@ -397,13 +399,13 @@
         }
     }
 
-    fn heard(&self) -> Option<Duration> {
-        let reads = self.is_up() && self.pace() != Pace::Rest;
+    fn answer_age(&self) -> Option<Duration> {
+        let reads = self.is_up() && self.pace() != Polling::Paused;
         let heard = self.operator_answered.get().filter(|_| reads)?;
         Some(heard.elapsed())
     }
 
-    fn is_ordered(&self) -> bool {
+    fn has_ordered_revisions(&self) -> bool {
         false
     }
 }
@@ -449,29 +451,29 @@
 
 #[async_trait(?Send)]
 impl Roster for Mirror {
-    async fn boxes(&self, tag: &str) -> Result<Option<Tagged>, TableError> {
+    async fn boxes(&self, tag: &str) -> Result<Option<Listings>, TableError> {
         let roster = self.cache.borrow().roster();
         Ok((tag != roster.tag).then_some(roster))
     }
 
-    fn is_known(&self) -> bool {
+    fn is_loaded(&self) -> bool {
         self.roster_read.get()
     }
 
-    fn is_kept_by_boxes(&self) -> bool {
+    fn is_self_registered(&self) -> bool {
         true
     }
 
-    fn lists(&self, listing: &Listing) -> bool {
+    fn contains(&self, listing: &Listing) -> bool {
         self.cache.borrow().contains_listing(listing)
     }
 
-    async fn enter(&self, listing: &Listing) -> Result<(), TableError> {
+    async fn register(&self, listing: &Listing) -> Result<(), TableError> {
         let value = serde_json::to_vec(listing).expect("a listing can be serialized");
         self.write_listing(&listing.name, Some(value)).await
     }
 
-    async fn leave(&self, name: &str) -> Result<(), TableError> {
+    async fn deregister(&self, name: &str) -> Result<(), TableError> {
         self.write_listing(name, None).await
     }
 }
--- a/src/platform/table/cache.rs
+++ b/src/platform/table/cache.rs
@@ -8,8 +8,8 @@
 use tokio::time::Instant;
 
 use super::feed::Feed;
-use crate::borders::roster::{Listing, Tagged};
-use crate::borders::table::{RESOURCE, Revision, Row, Scan, Section};
+use crate::borders::roster::{Listing, Listings};
+use crate::borders::table::{RESOURCE_PREFIX, Revision, Row, Scan, Section};
 use crate::events;
 use crate::platform::manifest::{Declarations, Manifest};
 use crate::platform::member_entry;
@@ -109,14 +109,16 @@
     /// Returns the revision up to which a section is known.
     fn section_revision(&self, section: Section) -> Revision {
         match section {
-            Section::Declarations => Revision::counted(self.manifest_version.unwrap_or_default()),
+            Section::Declarations => {
+                Revision::from_operator(self.manifest_version.unwrap_or_default())
+            }
             Section::Members | Section::Records => self.known_until[&section],
         }
     }
 
     /// Returns the list of boxes.
-    pub fn roster(&self) -> Tagged {
-        Tagged {
+    pub fn roster(&self) -> Listings {
+        Listings {
             tag: self.roster_revision.to_string(),
             revision: self.roster_revision,
             boxes: self.boxes.values().cloned().collect(),
@@ -243,7 +245,7 @@
         let declared = |key: &str| Section::of(key) == Section::Declarations;
         // Uses the operator's version, not the store's revision: an older copy of the store
         // resets the latter, and would restore removed declarations.
-        let revision = Revision::counted(version);
+        let revision = Revision::from_operator(version);
         self.replace_declared(declared, rows_of(manifest.declarations()), revision);
     }
 
@@ -340,6 +342,6 @@
 }
 
 fn rows_of(declared: Declarations) -> BTreeMap<Arc<str>, Value> {
-    let row = |(key, value)| (Arc::from(format!("{RESOURCE}{key}")), value);
+    let row = |(key, value)| (Arc::from(format!("{RESOURCE_PREFIX}{key}")), value);
     declared.into_iter().map(row).collect()
 }
--- a/src/platform/table/feed.rs
+++ b/src/platform/table/feed.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::borders::table::{Pace, Section};
+use crate::borders::table::{Polling, Section};
 
 /// Long polls within the time in which a change must be in force, for a box that also reads for
 /// others. Each poll's end confirms their view, which must not go stale before the next one.
@@ -43,12 +43,12 @@
     /// Returns how long one long poll waits, given that a change must be in force within
     /// `apply`. A poll that the store has lost is noticed only at its end, so urgent tables use
     /// shorter polls. Each poll costs a call.
-    pub fn long_poll_wait(self, pace: Pace, apply: Duration) -> Duration {
+    pub fn long_poll_wait(self, pace: Polling, apply: Duration) -> Duration {
         match (self, pace) {
             // The end of each poll shows the boxes that follow this one that the store answers.
-            (Feed::Operator, Pace::Brisk) => apply / BRISK_POLLS_PER_APPLY,
+            (Feed::Operator, Polling::Frequent) => apply / BRISK_POLLS_PER_APPLY,
             (Feed::Operator, _) => Duration::from_secs(8),
-            (Feed::Members, Pace::Brisk) => apply,
+            (Feed::Members, Polling::Frequent) => apply,
             (Feed::Members, _) => Duration::from_secs(12),
             (Feed::Boxes, _) => Duration::from_secs(25),
         }
--- a/tests/unit/fake.rs
+++ b/tests/unit/fake.rs
@@ -714,7 +714,7 @@
             return;
         }
         let at = self.now + ANSWER_TIMEOUT;
-        let event = event_of(member, began, call, Err(MemberError::Silent));
+        let event = event_of(member, began, call, Err(MemberError::TimedOut));
         self.schedule(at, Delivery::ToOwner { owner, event });
     }
 
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -492,7 +492,7 @@
     fixture.grant_fence(1, 10);
     let term = fixture.ballot_term();
     for member in [0, 2] {
-        let answer = Err(MemberError::Silent);
+        let answer = Err(MemberError::TimedOut);
         fixture.handle(Event::Fenced {
             member,
             term,
@@ -844,7 +844,7 @@
         fixture.ballot_term(),
         fixture.count_actions(|a| matches!(a, Action::Fence { .. })),
     );
-    expect_that!(fixture.group.bid(term).known, eq(1));
+    expect_that!(fixture.group.bid(term).known_promise, eq(1));
     // Two members have granted another box's fence meanwhile.
     for member in [1, 2] {
         let answer = Err(MemberError::Fenced { promised: term + 1 });
@@ -872,7 +872,10 @@
         fixture.count_actions(|a| matches!(a, Action::Fence { .. })),
         gt(fences)
     );
-    expect_that!(fixture.group.bid(fixture.ballot_term()).known, eq(term + 1));
+    expect_that!(
+        fixture.group.bid(fixture.ballot_term()).known_promise,
+        eq(term + 1)
+    );
 }
 
 /// Guards against a replica that isn't told to follow when a status report shows the new
--- a/tests/unit/leaving.rs
+++ b/tests/unit/leaving.rs
@@ -6,7 +6,7 @@
 
 use googletest::prelude::*;
 use larkfall::borders::member::Role;
-use larkfall::borders::table::{Ages, Revision, Row, Scan};
+use larkfall::borders::table::{DepartureAges, Revision, Row, Scan};
 use larkfall::decisions::departure::Departure;
 use larkfall::decisions::group::{Action, Event, Note};
 use larkfall::declarations::snapshot::{Plan, Snapshot};
@@ -199,14 +199,24 @@
     let empty = Snapshot::default();
     let snapshot = store.snapshot();
     let mut first = Departures::default();
-    first.take((&empty, &snapshot), &Ages::new(), Some(ms(40)), ms(1_000));
+    first.take(
+        (&empty, &snapshot),
+        &DepartureAges::new(),
+        Some(ms(40)),
+        ms(1_000),
+    );
     // The age is counted from the first news; later news of the same announcement is ignored.
-    first.take((&empty, &snapshot), &Ages::new(), Some(ms(0)), ms(2_000));
+    first.take(
+        (&empty, &snapshot),
+        &DepartureAges::new(),
+        Some(ms(0)),
+        ms(2_000),
+    );
     let told = first.ages(ms(3_000));
     expect_that!(told[&row.key], some(eq(2_040)));
     // The second box started after the announcement, so its clock reads less than the age.
     let mut second = Departures::default();
-    second.take((&empty, &snapshot), &Ages::new(), None, ms(10));
+    second.take((&empty, &snapshot), &DepartureAges::new(), None, ms(10));
     expect_that!(second.has_unknown(ms(10)), eq(true));
     expect_that!(second.ages(ms(10))[&row.key], none());
     expect_that!(second.learn(&told, ms(20)), eq(true));
@@ -252,9 +262,14 @@
     let announced = declared(&mut store, Revision::new(1, 24), declaration(true, 5));
     let heard = Some(Duration::ZERO);
     let before = Snapshot::default();
-    departures.take((&before, &announced), &Ages::new(), heard, ms(1_000));
+    departures.take(
+        (&before, &announced),
+        &DepartureAges::new(),
+        heard,
+        ms(1_000),
+    );
     let copy = declared(&mut store, Revision::new(2, 20), declaration(false, 5));
-    departures.take((&announced, &copy), &Ages::new(), heard, ms(2_000));
+    departures.take((&announced, &copy), &DepartureAges::new(), heard, ms(2_000));
     let leaving = |departures: &Departures, snapshot: &Snapshot| {
         let applied = snapshot.clone().with_departures(departures.known());
         applied.groups["p/g"].members[0].leaving
@@ -262,12 +277,12 @@
     expect_that!(leaving(&departures, &copy), eq(true));
     // The same announcement, written again, keeps its age.
     let again = declared(&mut store, Revision::new(2, 26), declaration(true, 5));
-    departures.take((&copy, &again), &Ages::new(), heard, ms(3_000));
+    departures.take((&copy, &again), &DepartureAges::new(), heard, ms(3_000));
     let key: Arc<str> = "resource/member/p/g.m0".into();
     expect_that!(departures.ages(ms(3_000))[&key], some(eq(2_000)));
     // Within one era of the table, the member itself may withdraw its announcement.
     let stays = declared(&mut store, Revision::new(2, 30), declaration(false, 5));
-    departures.take((&again, &stays), &Ages::new(), heard, ms(4_000));
+    departures.take((&again, &stays), &DepartureAges::new(), heard, ms(4_000));
     expect_that!(leaving(&departures, &stays), eq(false));
 }
 
@@ -280,12 +295,17 @@
     let heard = Some(Duration::ZERO);
     departures.take(
         (&Snapshot::default(), &announced),
-        &Ages::new(),
+        &DepartureAges::new(),
         heard,
         ms(1_000),
     );
     let started = declared(&mut store, Revision::new(2, 20), declaration(false, 6));
-    departures.take((&announced, &started), &Ages::new(), heard, ms(2_000));
+    departures.take(
+        (&announced, &started),
+        &DepartureAges::new(),
+        heard,
+        ms(2_000),
+    );
     expect_that!(departures.known().count(), eq(0));
 }
 
@@ -299,15 +319,15 @@
     let heard = Some(Duration::ZERO);
     departures.take(
         (&Snapshot::default(), &announced),
-        &Ages::new(),
+        &DepartureAges::new(),
         heard,
         ms(100),
     );
     let key: Arc<str> = "resource/member/p/g.m0".into();
-    let older = Ages::from([(key.clone(), Some(4_000))]);
+    let older = DepartureAges::from([(key.clone(), Some(4_000))]);
     expect_that!(departures.learn(&older, ms(200)), eq(true));
     expect_that!(departures.ages(ms(200))[&key], some(eq(4_000)));
-    let younger = Ages::from([(key.clone(), Some(10))]);
+    let younger = DepartureAges::from([(key.clone(), Some(10))]);
     expect_that!(departures.learn(&younger, ms(300)), eq(false));
     expect_that!(departures.ages(ms(300))[&key], some(eq(4_100)));
 }
--- a/tests/unit/orders.rs
+++ b/tests/unit/orders.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use larkfall::borders::member::{Bid, MemberError, Role, Status};
+use larkfall::borders::member::{Fence, MemberError, Role, Status};
 use larkfall::borders::table::Revision;
 use larkfall::decisions::duty::{Claim, Duty, next_duty};
 use larkfall::decisions::group::{Action, Event, Group};
@@ -58,7 +58,7 @@
     Fence {
         owner: usize,
         member: usize,
-        bid: Bid,
+        bid: Fence,
     },
     /// The second half of a fence.
     GrantFence {
@@ -398,7 +398,7 @@
     fn send_status(&mut self, owner: usize, member: usize, began: Duration) {
         let node = self.members[member];
         let (after, answer) = match node.unreachable {
-            true => (PROBE_TIMEOUT, Err(MemberError::Silent)),
+            true => (PROBE_TIMEOUT, Err(MemberError::TimedOut)),
             false => (self.delay(), Ok(node.status())),
         };
         let event = Event::Probed {
@@ -409,13 +409,13 @@
         self.schedule(after, Step::Deliver(owner, event));
     }
 
-    fn fence(&mut self, owner: usize, member: usize, bid: Bid) {
+    fn fence(&mut self, owner: usize, member: usize, bid: Fence) {
         let node = self.members[member];
         let promised = node.status().promised;
-        let superseded = promised > bid.known.max(bid.replaced);
+        let superseded = promised > bid.known_promise.max(bid.replaced);
         let term = bid.term;
         let answer = match node.unreachable {
-            true => Err(MemberError::Silent),
+            true => Err(MemberError::TimedOut),
             false if node.term > bid.replaced || superseded => {
                 Err(MemberError::Fenced { promised })
             }
