--- a/examples/support/processes.rs
+++ b/examples/support/processes.rs
@@ -101,9 +101,9 @@
             ("peer", settings.peers.join(",")),
             (
                 "admin",
-                settings.admin.clone().unwrap_or_default().to_string(),
+                settings.admin_hash.clone().unwrap_or_default().to_string(),
             ),
-            ("poll-ms", settings.poll.as_millis().to_string()),
+            ("poll-ms", settings.poll_interval.as_millis().to_string()),
             ("log", "none".to_owned()),
         ];
         Process::start(&self.program, arguments, &["run"])
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -42,7 +42,11 @@
     let mut hangup = signal(SignalKind::hangup())?;
     tokio::task::spawn_local(async move {
         while hangup.recv().await.is_some() {
-            events::emit(&log, &events::RELOAD, &[("taken", &""), ("held", &"all")]);
+            events::emit(
+                &log,
+                &events::SETTINGS_RELOADED,
+                &[("taken", &""), ("held", &"all")],
+            );
         }
     });
     Ok(())
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -10,7 +10,7 @@
 use crate::declarations::finding::Finding;
 
 /// Reads all declarations below the paths, in order of name.
-pub fn load(paths: &[PathBuf]) -> anyhow::Result<(Vec<Entry>, Vec<Finding>)> {
+pub fn load_entries(paths: &[PathBuf]) -> anyhow::Result<(Vec<Entry>, Vec<Finding>)> {
     let mut entries = Vec::new();
     let mut findings = Vec::new();
     for path in paths {
@@ -18,7 +18,7 @@
             let name = file.display().to_string();
             let text =
                 std::fs::read_to_string(&file).with_context(|| format!("can't read {name}"))?;
-            let (more, wrong) = entry::read(&name, &text);
+            let (more, wrong) = entry::parse(&name, &text);
             entries.extend(more);
             findings.extend(wrong);
         }
@@ -51,7 +51,7 @@
         eprintln!("check needs at least one file or folder");
         return Ok(Exit::BadInput);
     }
-    let (entries, mut findings) = load(paths)?;
+    let (entries, mut findings) = load_entries(paths)?;
     match check::all(&entries) {
         Ok(specs) if findings.is_empty() => {
             println!("{} resources, no findings", specs.len());
--- a/src/commands/operate.rs
+++ b/src/commands/operate.rs
@@ -8,7 +8,7 @@
 use hyper::Method;
 use serde_json::{Value, json};
 
-use super::check::load;
+use super::check::load_entries;
 use super::{Exit, print_findings};
 use crate::declarations::check;
 use crate::http::{Call, Client, HttpError};
@@ -53,10 +53,10 @@
             bearer: Some(&self.token),
             headers,
             body: body.map_or(Vec::new(), |body| body.to_string().into_bytes()),
-            wait: WAIT,
+            timeout: WAIT,
         };
         let bytes = self.client.call(call).await?;
-        serde_json::from_slice(&bytes).map_err(|error| HttpError::Broken(error.to_string()))
+        serde_json::from_slice(&bytes).map_err(|error| HttpError::Failed(error.to_string()))
     }
 }
 
@@ -82,7 +82,7 @@
     dry_run: bool,
     wait: bool,
 ) -> anyhow::Result<Exit> {
-    let (entries, mut findings) = load(&[path.to_owned()])?;
+    let (entries, mut findings) = load_entries(&[path.to_owned()])?;
     let specs = match check::all(&entries) {
         Ok(specs) => specs,
         Err(more) => {
--- a/src/commands/reload.rs
+++ b/src/commands/reload.rs
@@ -72,19 +72,19 @@
         let (taken, held) = self.file.changed_fields(&file);
         let fields: [(_, &dyn std::fmt::Display); 2] =
             [("taken", &taken.join(" ")), ("held", &held.join(" "))];
-        events::emit(&self.log, &events::RELOAD, &fields);
-        self.metrics.settings_read("taken");
+        events::emit(&self.log, &events::SETTINGS_RELOADED, &fields);
+        self.metrics.count_settings_read("taken");
         self.live.send_replace(Arc::new(file.live_settings()));
         // Fields that hold are compared with those of the start.
         self.file = self.file.with_live_fields(&file);
     }
 
     fn refuse(&self, findings: &[Finding]) {
-        self.metrics.settings_read("refused");
+        self.metrics.count_settings_read("refused");
         for finding in findings {
             let fields: [(_, &dyn std::fmt::Display); 2] =
                 [("field", &finding.field), ("error", &finding.message)];
-            events::emit(&self.log, &events::BAD_SETTINGS, &fields);
+            events::emit(&self.log, &events::INVALID_SETTINGS, &fields);
         }
     }
 }
--- a/src/commands/run.rs
+++ b/src/commands/run.rs
@@ -8,7 +8,7 @@
 use crate::standin::ports;
 
 pub async fn run(source: Source<'_>) -> anyhow::Result<Exit> {
-    let settings = match Run::read(source) {
+    let settings = match Run::from_source(source) {
         Ok(settings) => settings,
         Err(findings) => {
             print_findings(&findings);
--- a/src/configs/live.rs
+++ b/src/configs/live.rs
@@ -12,24 +12,24 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Live {
     /// Callers at once. Those that are there stay.
-    pub callers: usize,
+    pub max_callers: usize,
     /// Time that requests in flight get at a stop.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Peers to ask when the platform is down before any box is known.
     pub peers: Vec<Arc<str>>,
     /// Time that a leaving member is served; none where that does not change. A member that
     /// leaves already keeps the shorter of both.
-    pub leave_most: Option<Duration>,
+    pub member_drain_limit: Option<Duration>,
 }
 
 impl Live {
     /// Those of a box that starts.
     pub fn new(run: &Run) -> Self {
         Self {
-            callers: run.callers,
-            drain: run.drain,
+            max_callers: run.max_callers,
+            drain_timeout: run.drain_timeout,
             peers: run.peers.clone(),
-            leave_most: None,
+            member_drain_limit: None,
         }
     }
 }
--- a/src/configs/run.rs
+++ b/src/configs/run.rs
@@ -28,44 +28,44 @@
     /// `IP:port` of peers to ask when the platform is down at the start.
     pub peers: Vec<Arc<str>>,
     /// SHA-256 of the token that may declare partners, in hexadecimal.
-    pub admin: Option<Arc<str>>,
+    pub admin_hash: Option<Arc<str>>,
     pub log: Format,
     /// Time between two looks at the table's head.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Peers that news is pushed to.
     pub fanout: usize,
     /// An open transaction without a statement for this long is rolled back.
-    pub lease_idle: Duration,
+    pub transaction_idle_timeout: Duration,
     /// Time a new connection to a member may take.
-    pub connect_wait: Duration,
+    pub connect_timeout: Duration,
     /// Callers at once.
-    pub callers: usize,
+    pub max_callers: usize,
     /// Time that requests in flight get at a stop.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Time after which a balancer sends no callers any more to a box that is not ready.
-    pub balancer_turn: Duration,
+    pub max_balancer_delay: Duration,
     /// Time after which it is expected to send none.
-    pub balancer_notice: Duration,
+    pub mean_balancer_delay: Duration,
     /// Retries that each hundred answers earn.
     pub retry_percent: u64,
     /// Retries that can be saved up.
-    pub retry_most: u64,
+    pub max_saved_retries: u64,
     /// Promotions are ordered under a generation number that is kept in the table.
     pub duty: bool,
     /// Where a failure domain has many boxes, a few of them read the table for all.
-    pub follow: bool,
+    pub share_table_reads: bool,
     /// Width of the box's link, in Mbit/s; 0 where that is not known.
     pub link_mbps: u32,
     /// Time in which an accepted change has to be in force.
-    pub apply: Duration,
+    pub apply_deadline: Duration,
     /// Operations that a workspace may do at once beyond its declared burst.
     pub limit_slack: u32,
     /// Part of a workspace's limit by which it may be passed.
     pub limit_overage: f64,
     /// Operations wait for their turn where a workspace's limit is used up.
-    pub limit_waits: bool,
+    pub queue_over_limit: bool,
     /// The loss of a whole failure domain is to be borne: its boxes warn each other of it.
-    pub domain_loss: bool,
+    pub tolerate_domain_loss: bool,
     /// The whole system starts for the first time: no box is listed yet.
     pub first_start: bool,
 }
@@ -81,26 +81,26 @@
             metrics_port: None,
             platform: "".into(),
             peers: Vec::new(),
-            admin: None,
+            admin_hash: None,
             log: Format::Terminal,
-            poll: Duration::from_secs(2),
+            poll_interval: Duration::from_secs(2),
             fanout: 3,
-            lease_idle: Duration::from_secs(30),
-            connect_wait: Duration::from_secs(1),
-            callers: 10_000,
-            drain: Duration::from_secs(30),
-            balancer_turn: Duration::from_millis(2_300),
-            balancer_notice: Duration::from_millis(1_500),
+            transaction_idle_timeout: Duration::from_secs(30),
+            connect_timeout: Duration::from_secs(1),
+            max_callers: 10_000,
+            drain_timeout: Duration::from_secs(30),
+            max_balancer_delay: Duration::from_millis(2_300),
+            mean_balancer_delay: Duration::from_millis(1_500),
             retry_percent: 10,
-            retry_most: 20,
+            max_saved_retries: 20,
             duty: false,
-            follow: false,
+            share_table_reads: false,
             link_mbps: 0,
-            apply: Duration::from_secs(3),
+            apply_deadline: Duration::from_secs(3),
             limit_slack: 0,
             limit_overage: 0.0,
-            limit_waits: false,
-            domain_loss: false,
+            queue_over_limit: false,
+            tolerate_domain_loss: false,
             first_start: false,
         }
     }
@@ -187,7 +187,7 @@
     }
 }
 
-pub fn log_format(text: &str) -> Option<Format> {
+pub fn parse_log_format(text: &str) -> Option<Format> {
     match text {
         "terminal" => Some(Format::Terminal),
         "json" => Some(Format::Json),
@@ -208,7 +208,7 @@
 
 impl Run {
     /// Reads and checks all settings.
-    pub fn read(source: Source<'_>) -> Result<Self, Vec<Finding>> {
+    pub fn from_source(source: Source<'_>) -> Result<Self, Vec<Finding>> {
         let defaults = Run::default();
         let mut reader = Reader::new(source);
         let run = Run {
@@ -225,34 +225,40 @@
                 "IP:port, or several with commas",
                 |t| t.split(',').map(address).collect(),
             ),
-            admin: reader.optional(
+            admin_hash: reader.optional(
                 "admin",
-                defaults.admin,
+                defaults.admin_hash,
                 "a SHA-256 in 64 hexadecimal digits",
                 |t| {
                     let digits = t.len() == 64 && t.chars().all(|c| c.is_ascii_hexdigit());
                     digits.then(|| Some(t.into()))
                 },
             ),
-            log: reader.optional("log", defaults.log, "terminal, json or none", log_format),
-            poll: reader.milliseconds("poll-ms", defaults.poll),
+            log: reader.optional(
+                "log",
+                defaults.log,
+                "terminal, json or none",
+                parse_log_format,
+            ),
+            poll_interval: reader.milliseconds("poll-ms", defaults.poll_interval),
             fanout: reader.number("fanout", defaults.fanout),
-            lease_idle: reader.milliseconds("lease-idle-ms", defaults.lease_idle),
-            connect_wait: reader.milliseconds("connect-wait-ms", defaults.connect_wait),
-            callers: reader.number("callers", defaults.callers),
-            drain: reader.milliseconds("drain-ms", defaults.drain),
-            balancer_turn: defaults.balancer_turn,
-            balancer_notice: defaults.balancer_notice,
+            transaction_idle_timeout: reader
+                .milliseconds("lease-idle-ms", defaults.transaction_idle_timeout),
+            connect_timeout: reader.milliseconds("connect-wait-ms", defaults.connect_timeout),
+            max_callers: reader.number("callers", defaults.max_callers),
+            drain_timeout: reader.milliseconds("drain-ms", defaults.drain_timeout),
+            max_balancer_delay: defaults.max_balancer_delay,
+            mean_balancer_delay: defaults.mean_balancer_delay,
             retry_percent: defaults.retry_percent,
-            retry_most: defaults.retry_most,
+            max_saved_retries: defaults.max_saved_retries,
             duty: defaults.duty,
-            follow: defaults.follow,
+            share_table_reads: defaults.share_table_reads,
             link_mbps: defaults.link_mbps,
-            apply: defaults.apply,
+            apply_deadline: defaults.apply_deadline,
             limit_slack: defaults.limit_slack,
             limit_overage: defaults.limit_overage,
-            limit_waits: defaults.limit_waits,
-            domain_loss: defaults.domain_loss,
+            queue_over_limit: defaults.queue_over_limit,
+            tolerate_domain_loss: defaults.tolerate_domain_loss,
             first_start: defaults.first_start,
         };
         match reader.findings.is_empty() {
--- a/src/decisions/group/membership.rs
+++ b/src/decisions/group/membership.rs
@@ -49,9 +49,9 @@
 
     /// Applies a listed member's spec and returns the member's index.
     fn apply_spec(&mut self, spec: &MemberSpec, now: Duration) -> usize {
-        let same = |known: &Member| known.spec.shares_place(spec);
+        let same = |known: &Member| known.spec.same_endpoint(spec);
         match self.members.iter().rposition(same) {
-            Some(index) if self.members[index].spec.started_again(spec) => {
+            Some(index) if self.members[index].spec.restarted_as(spec) => {
                 self.restart_member(index, spec, now)
             }
             Some(index) => {
--- a/src/declarations/check.rs
+++ b/src/declarations/check.rs
@@ -205,7 +205,7 @@
 
 /// Checks one entry by itself.
 pub fn one(entry: &Entry) -> Result<Spec, Vec<Finding>> {
-    let Some(kind) = Kind::of(&entry.kind) else {
+    let Some(kind) = Kind::from_name(&entry.kind) else {
         let known: Vec<_> = Kind::ALL.iter().map(|kind| kind.name()).collect();
         let message = format!("is no kind of resource; known are {}", known.join(", "));
         let mut finding = entry.finding("", message);
@@ -372,7 +372,7 @@
     }
     findings.extend(shared_keys(&specs, &places));
     for (key, entry) in &places {
-        if let Some((field, missing)) = dangling(&specs[key], &specs) {
+        if let Some((field, missing)) = missing_reference(&specs[key], &specs) {
             findings.push(entry.finding(field, format!("{missing} is not declared")));
         }
     }
@@ -402,7 +402,7 @@
 }
 
 /// The resource that `spec` names and that is not there.
-pub fn dangling(spec: &Spec, specs: &BTreeMap<Key, Spec>) -> Option<(&'static str, Key)> {
+pub fn missing_reference(spec: &Spec, specs: &BTreeMap<Key, Spec>) -> Option<(&'static str, Key)> {
     let own = spec.key();
     let needed = |kind, name: &Arc<str>| Key {
         kind,
--- a/src/declarations/entry.rs
+++ b/src/declarations/entry.rs
@@ -60,7 +60,7 @@
 }
 
 /// Reads a file of `[[kind]]` tables.
-pub fn read(file: &str, text: &str) -> (Vec<Entry>, Vec<Finding>) {
+pub fn parse(file: &str, text: &str) -> (Vec<Entry>, Vec<Finding>) {
     let file: Arc<str> = file.into();
     let document = match DeTable::parse(text) {
         Ok(document) => document,
--- a/src/declarations/resource.rs
+++ b/src/declarations/resource.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    pub fn of(name: &str) -> Option<Kind> {
+    pub fn from_name(name: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.name() == name)
     }
 }
@@ -58,7 +58,7 @@
 impl Key {
     pub fn parse(text: &str) -> Option<Key> {
         let mut parts = text.splitn(3, '/');
-        let kind = Kind::of(parts.next()?)?;
+        let kind = Kind::from_name(parts.next()?)?;
         let partner = parts.next()?.into();
         let name = parts.next().unwrap_or_default().into();
         Some(Key {
@@ -154,12 +154,12 @@
 
 impl Member {
     /// Whether `later` is this member after another start. An older start is late news.
-    pub fn started_again(&self, later: &Member) -> bool {
+    pub fn restarted_as(&self, later: &Member) -> bool {
         matches!((self.born, later.born), (Some(born), Some(again)) if again > born)
     }
 
     /// Whether both are names of one place to connect to.
-    pub fn shares_place(&self, other: &Member) -> bool {
+    pub fn same_endpoint(&self, other: &Member) -> bool {
         self.name == other.name && self.address == other.address
     }
 }
--- a/src/declarations/snapshot.rs
+++ b/src/declarations/snapshot.rs
@@ -68,7 +68,7 @@
     /// By `PARTNER/WORKSPACE`.
     pub workspaces: BTreeMap<Arc<str>, Arc<Workspace>>,
     /// Who comes with a key, by the key's digest.
-    pub keys: BTreeMap<Arc<str>, Arc<Workspace>>,
+    pub workspaces_by_key: BTreeMap<Arc<str>, Arc<Workspace>>,
     /// By `PARTNER/GROUP`.
     pub primaries: BTreeMap<Arc<str>, Primary>,
     /// By `PARTNER/GROUP`.
@@ -130,7 +130,7 @@
             resources,
             partners,
             databases,
-            keys,
+            workspaces_by_key: keys,
             workspaces,
             duties,
             groups: groups.into_iter().map(shared).collect(),
@@ -140,17 +140,17 @@
 
     /// The workspace that calls a database with a key of this digest; none where the
     /// database asks for no key.
-    pub fn caller(
+    pub fn workspace_for_key(
         &self,
         database: &Database,
         key: &str,
-    ) -> Result<Option<Arc<Workspace>>, Stranger> {
+    ) -> Result<Option<Arc<Workspace>>, UnknownKey> {
         if !database.keyed {
             return Ok(None);
         }
-        let known = self.keys.get(key);
+        let known = self.workspaces_by_key.get(key);
         let own = known.filter(|workspace| workspace.partner == database.partner);
-        own.cloned().map(Some).ok_or(Stranger)
+        own.cloned().map(Some).ok_or(UnknownKey)
     }
 
     /// A member, if it is declared.
@@ -184,40 +184,40 @@
     pub fn departed_since<'a>(
         &'a self,
         before: &'a Snapshot,
-    ) -> impl Iterator<Item = (Key, Manner)> + 'a {
+    ) -> impl Iterator<Item = (Key, DepartureReason)> + 'a {
         let left = self.resources.iter().filter(|(_, stored)| leaves(stored));
         let known = |key: &Key, stored: &Stored| {
             let earlier = before.resources.get(key).filter(|earlier| leaves(earlier));
             earlier.is_some_and(|earlier| !started_again(earlier, stored))
         };
         let left = left.filter(move |(key, stored)| !known(key, stored));
-        let left = left.map(|(key, _)| (key.clone(), Manner::Leaving));
+        let left = left.map(|(key, _)| (key.clone(), DepartureReason::Leaving));
         let known = before.resources.keys();
         let gone =
             known.filter(|key| key.kind == Kind::Member && !self.resources.contains_key(key));
-        left.chain(gone.map(|key| (key.clone(), Manner::Unlisted)))
+        left.chain(gone.map(|key| (key.clone(), DepartureReason::Unlisted)))
     }
 }
 
 /// A caller whose key no workspace holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no workspace has this key")]
-pub struct Stranger;
+pub struct UnknownKey;
 
 /// How a member departs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum DepartureReason {
     /// It says so itself.
     Leaving,
     /// The list names it no more.
     Unlisted,
 }
 
-impl fmt::Display for Manner {
+impl fmt::Display for DepartureReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Manner::Leaving => "leaving",
-            Manner::Unlisted => "not listed",
+            DepartureReason::Leaving => "leaving",
+            DepartureReason::Unlisted => "not listed",
         })
     }
 }
@@ -228,7 +228,7 @@
 
 fn started_again(earlier: &Stored, later: &Stored) -> bool {
     match (&earlier.spec, &later.spec) {
-        (Spec::Member(earlier), Spec::Member(later)) => earlier.started_again(later),
+        (Spec::Member(earlier), Spec::Member(later)) => earlier.restarted_as(later),
         _ => false,
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -13,7 +13,7 @@
 
 const IDLE: Duration = Duration::from_secs(20);
 /// Time for a new connection: a few ways there and back, and no lost packet.
-pub const CONNECT_WAIT: Duration = Duration::from_millis(400);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Rest after which the other end is probed, and time between two probes: whole seconds,
 /// as the kernel counts them.
 const KEEPALIVE: Duration = Duration::from_secs(1);
@@ -21,7 +21,7 @@
 /// outlast the four seconds after which a box has to know every change.
 const KEEPALIVE_TRIES: u32 = 2;
 /// Time after which an open connection is given up whose other end says nothing more.
-pub const SILENCE: Duration = KEEPALIVE.saturating_mul(1 + KEEPALIVE_TRIES);
+pub const DEAD_CONNECTION_TIMEOUT: Duration = KEEPALIVE.saturating_mul(1 + KEEPALIVE_TRIES);
 
 /// Why a call has no body to show.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -30,9 +30,9 @@
     #[error("no connection: {0}")]
     Unsent(String),
     #[error("connection refused or reset: {0}")]
-    Broken(String),
+    Failed(String),
     #[error("no answer in time")]
-    Late,
+    TimedOut,
     #[error("status {code}: {body}")]
     Status { code: u16, body: String },
 }
@@ -47,7 +47,7 @@
 
 impl Answer {
     /// The body, if the call was done.
-    pub fn done(self) -> Result<Bytes, HttpError> {
+    pub fn into_success(self) -> Result<Bytes, HttpError> {
         if self.status == StatusCode::OK {
             return Ok(self.body);
         }
@@ -73,7 +73,7 @@
     pub bearer: Option<&'a str>,
     pub headers: Vec<(&'static str, String)>,
     pub body: Vec<u8>,
-    pub wait: Duration,
+    pub timeout: Duration,
 }
 
 impl<'a> Call<'a> {
@@ -86,7 +86,7 @@
             bearer: None,
             headers: Vec::new(),
             body: Vec::new(),
-            wait,
+            timeout: wait,
         }
     }
 }
@@ -96,7 +96,7 @@
     pub fn new(from: IpAddr) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT_WAIT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         // A cut says nothing: without probes a wait for an answer lasts its whole time.
         connector.set_keepalive(Some(KEEPALIVE));
         connector.set_keepalive_interval(Some(KEEPALIVE));
@@ -123,7 +123,7 @@
             bearer: None,
             headers: Vec::new(),
             body,
-            wait,
+            timeout: wait,
         };
         self.call(call).await
     }
@@ -134,11 +134,11 @@
 
     /// The body of an answer that says that the call was done.
     pub async fn call(&self, call: Call<'_>) -> Result<Bytes, HttpError> {
-        self.ask(call).await?.done()
+        self.send(call).await?.into_success()
     }
 
     /// The whole answer, also to a call that was refused.
-    pub async fn ask(&self, call: Call<'_>) -> Result<Answer, HttpError> {
+    pub async fn send(&self, call: Call<'_>) -> Result<Answer, HttpError> {
         let mut request = Request::builder()
             .method(call.method)
             .uri(format!("http://{}{}", call.address, call.path));
@@ -150,14 +150,14 @@
         }
         let request = request
             .body(Full::new(Bytes::from(call.body)))
-            .map_err(|error| HttpError::Broken(error.to_string()))?;
-        tokio::time::timeout(call.wait, self.exchange(request))
+            .map_err(|error| HttpError::Failed(error.to_string()))?;
+        tokio::time::timeout(call.timeout, self.exchange(request))
             .await
-            .map_err(|_| HttpError::Late)?
+            .map_err(|_| HttpError::TimedOut)?
     }
 
     async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Answer, HttpError> {
-        let broken = |error: &dyn std::fmt::Display| HttpError::Broken(error.to_string());
+        let broken = |error: &dyn std::fmt::Display| HttpError::Failed(error.to_string());
         let response = self.inner.request(request).await;
         let response = response.map_err(|error| match error.is_connect() {
             true => HttpError::Unsent(error.to_string()),
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -90,7 +90,7 @@
 
 impl Metrics {
     /// A statement was answered after `took`.
-    pub fn answered(&self, outcome: &'static str, scope: &Scope, took: Duration) {
+    pub fn record_answer(&self, outcome: &'static str, scope: &Scope, took: Duration) {
         let kind = scope.read_kind.as_deref().unwrap_or("none").to_owned();
         let labels = [
             KeyValue::new("kind", kind),
@@ -102,13 +102,13 @@
     /// The platform's store was called: for all its rows (`start`), because an earlier call
     /// failed (`retry`) or others told nothing fresh (`stale`), to wait for changes (`wait`),
     /// or to write (`listing`, `record`).
-    pub fn called_store(&self, table: &'static str, cause: &'static str) {
+    pub fn count_store_call(&self, table: &'static str, cause: &'static str) {
         let labels = [KeyValue::new("table", table), KeyValue::new("cause", cause)];
         self.store_calls.add(1, &labels);
     }
 
     /// An operation of a workspace began, and its limit let it through or not.
-    pub fn operation(&self, workspace: &Arc<str>, outcome: &'static str) {
+    pub fn count_operation(&self, workspace: &Arc<str>, outcome: &'static str) {
         let labels = [
             KeyValue::new("workspace", self.counted_as(workspace)),
             KeyValue::new("outcome", outcome),
@@ -129,7 +129,7 @@
     }
 
     /// The settings file was read again, and `taken` or `refused`.
-    pub fn settings_read(&self, outcome: &'static str) {
+    pub fn count_settings_read(&self, outcome: &'static str) {
         let labels = [KeyValue::new("outcome", outcome)];
         self.settings_reads.add(1, &labels);
     }
--- a/src/node/api/resources.rs
+++ b/src/node/api/resources.rs
@@ -121,12 +121,12 @@
     // Every hash is compared, so that the time tells nothing.
     let mut found = None;
     for partner in snapshot.partners.values() {
-        if secret::fits(token, &partner.operator) {
+        if secret::matches_hash(token, &partner.operator) {
             found = Some(Caller::Operator(partner.name.clone()));
         }
     }
     if let Some(hash) = &api.admin
-        && secret::fits(token, hash)
+        && secret::matches_hash(token, hash)
     {
         found = Some(Caller::Admin);
     }
@@ -364,7 +364,7 @@
         .iter()
         .filter(|(key, _)| partners.contains(&key.partner));
     let dangling = touched.filter_map(|(key, spec)| {
-        let (field, missing) = check::dangling(spec, &after)?;
+        let (field, missing) = check::missing_reference(spec, &after)?;
         Some(Finding {
             file: key.to_string().into(),
             line: None,
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -22,7 +22,7 @@
 use crate::borders::roster::Listing;
 use crate::borders::table::{Revision, Scan, Section};
 use crate::declarations::resource::Key;
-use crate::declarations::snapshot::{Manner, Snapshot};
+use crate::declarations::snapshot::{DepartureReason, Snapshot};
 use crate::events;
 
 pub use departures::Departures;
@@ -212,7 +212,7 @@
     /// The poll interval, spread so that boxes do not ask in step.
     fn jittered(&self) -> Duration {
         let factor = rand::Rng::random_range(&mut rand::rng(), 0.8..1.2);
-        self.context.settings.poll.mul_f64(factor)
+        self.context.settings.poll_interval.mul_f64(factor)
     }
 
     async fn take(&mut self, request: Request) {
@@ -264,7 +264,7 @@
         }
         if self.table_up != up {
             let kind = match up {
-                true => &events::TABLE_BACK,
+                true => &events::TABLE_RECOVERED,
                 false => &events::TABLE_DOWN,
             };
             events::emit(&self.context.log, kind, &[]);
@@ -329,7 +329,7 @@
             ("rows", &scan.rows.len()),
             ("from", origin),
         ];
-        events::emit(&self.context.log, &events::CONFIGURED, &fields);
+        events::emit(&self.context.log, &events::CONFIG_APPLIED, &fields);
         self.note_departed(origin, &departed);
         self.put_in_force(snapshot);
         self.tell_peers(since, self.with_ages(scan));
@@ -388,11 +388,11 @@
     }
 
     /// Logs whom news declares to leave, or lists no more.
-    fn note_departed(&self, origin: &Origin, departed: &[(Key, Manner)]) {
+    fn note_departed(&self, origin: &Origin, departed: &[(Key, DepartureReason)]) {
         for (member, how) in departed.iter().take(MOST_NAMED) {
             let fields: [(_, &dyn fmt::Display); 3] =
                 [("member", member), ("how", how), ("from", origin)];
-            events::emit(&self.context.log, &events::MEMBER_LEAVES, &fields);
+            events::emit(&self.context.log, &events::MEMBER_DEPARTED, &fields);
         }
     }
 
--- a/src/node/configuration/departures.rs
+++ b/src/node/configuration/departures.rs
@@ -7,7 +7,7 @@
 use crate::borders::table::{Ages, RESOURCE, Revision};
 use crate::decisions::departure::Departure;
 use crate::declarations::resource::{Key, Member};
-use crate::declarations::snapshot::{Manner, Snapshot};
+use crate::declarations::snapshot::{DepartureReason, Snapshot};
 
 /// Time for which a member that is listed no more is remembered: far more than members
 /// serve on.
@@ -40,7 +40,7 @@
         let Some(listed) = listed else {
             return !remembered;
         };
-        let again = self.member.started_again(listed.member);
+        let again = self.member.restarted_as(listed.member);
         let lost = listed.revision.era() > self.era && remembered;
         again || (!listed.member.leaving && !lost)
     }
@@ -68,11 +68,11 @@
         told: &Ages,
         lag: Option<Duration>,
         now: Duration,
-    ) -> Vec<(Key, Manner)> {
+    ) -> Vec<(Key, DepartureReason)> {
         self.learn(told, now);
         self.known
             .retain(|key, known| !known.is_over(listed(snapshot, key).as_ref(), now));
-        let departed: Vec<(Key, Manner)> = snapshot.departed_since(before).collect();
+        let departed: Vec<(Key, DepartureReason)> = snapshot.departed_since(before).collect();
         for (key, _) in &departed {
             let age = told.get(&row_key(key)).copied();
             let age = age.map_or(lag, |age| age.map(Duration::from_millis));
--- a/src/node/configuration/store.rs
+++ b/src/node/configuration/store.rs
@@ -153,7 +153,7 @@
     fn put(&mut self, row: Row, log: &Logger) {
         if let Err(error) = self.declare(&row) {
             let fields: [(_, &dyn std::fmt::Display); 2] = [("row", &row.key), ("error", &error)];
-            events::emit(log, &events::BAD_ROW, &fields);
+            events::emit(log, &events::INVALID_ROW, &fields);
         }
         let taken = self.taken;
         self.digest ^= mark(&row);
--- a/src/node/context.rs
+++ b/src/node/context.rs
@@ -19,7 +19,7 @@
 use crate::configs::live::Live;
 use crate::configs::run::Run;
 use crate::declarations::resource::{Database, Workspace};
-use crate::declarations::snapshot::{Snapshot, Stranger};
+use crate::declarations::snapshot::{Snapshot, UnknownKey};
 use crate::http::Client;
 use crate::metrics::Metrics;
 
@@ -110,8 +110,8 @@
         &self,
         database: &Database,
         key: &str,
-    ) -> Result<Option<Arc<Workspace>>, Stranger> {
-        self.snapshot.borrow().caller(database, key)
+    ) -> Result<Option<Arc<Workspace>>, UnknownKey> {
+        self.snapshot.borrow().workspace_for_key(database, key)
     }
 
     /// Whether callers have been better served elsewhere for so long.
@@ -124,7 +124,7 @@
     /// elsewhere; none where it is ready, or that time is over.
     pub fn turns_in(&self) -> Option<Duration> {
         let since = (*self.away.borrow())?;
-        let turned = since + self.settings.balancer_notice;
+        let turned = since + self.settings.mean_balancer_delay;
         turned
             .checked_sub(self.now())
             .filter(|left| !left.is_zero())
@@ -156,7 +156,10 @@
             .groups
             .get(group)
             .and_then(|plan| plan.group.idle_ms);
-        declared.map_or(self.settings.lease_idle, Duration::from_millis)
+        declared.map_or(
+            self.settings.transaction_idle_timeout,
+            Duration::from_millis,
+        )
     }
 
     /// The box's own entry in the list of boxes.
--- a/src/node/driver/acting.rs
+++ b/src/node/driver/acting.rs
@@ -238,27 +238,27 @@
         match note {
             Note::Suspected { member } => events::emit(
                 log,
-                &events::SUSPECTED,
+                &events::MEMBER_SUSPECTED,
                 &[("group", id), ("member", &name(*member))],
             ),
             Note::SuspicionCleared { member } => events::emit(
                 log,
-                &events::TRUSTED,
+                &events::SUSPICION_CLEARED,
                 &[("group", id), ("member", &name(*member))],
             ),
             Note::FenceReleased { member } => events::emit(
                 log,
-                &events::RELEASED,
+                &events::FENCE_RELEASED,
                 &[("group", id), ("member", &name(*member))],
             ),
             Note::ImplausibleReport { member } => events::emit(
                 log,
-                &events::NONSENSE,
+                &events::INVALID_REPORT,
                 &[("group", id), ("member", &name(*member))],
             ),
             Note::Restarted { member } => events::emit(
                 log,
-                &events::RESTARTED,
+                &events::MEMBER_RESTARTED,
                 &[("group", id), ("member", &name(*member))],
             ),
             Note::DrainStarted {
@@ -267,7 +267,7 @@
                 successors,
             } => events::emit(
                 log,
-                &events::LEAVE_COUNTED,
+                &events::DRAIN_STARTED,
                 &[
                     ("group", id),
                     ("member", &name(*member)),
@@ -277,7 +277,7 @@
             ),
             Note::DrainExpired { member, age } => events::emit(
                 log,
-                &events::LEAVE_OVER,
+                &events::DRAIN_EXPIRED,
                 &[
                     ("group", id),
                     ("member", &name(*member)),
@@ -285,19 +285,23 @@
                 ],
             ),
             Note::BallotStarted { term } => {
-                events::emit(log, &events::FENCING, &[("group", id), ("term", term)]);
+                events::emit(
+                    log,
+                    &events::REPLACEMENT_STARTED,
+                    &[("group", id), ("term", term)],
+                );
             }
             Note::BallotLost { term } => {
                 events::emit(log, &events::BALLOT_LOST, &[("group", id), ("term", term)]);
             }
             Note::PrimaryPromoted { term, member } => events::emit(
                 log,
-                &events::PROMOTED,
+                &events::PRIMARY_PROMOTED,
                 &[("group", id), ("term", term), ("member", &name(*member))],
             ),
             Note::PrimaryAdopted { term, member } => events::emit(
                 log,
-                &events::ADOPTED,
+                &events::PRIMARY_ADOPTED,
                 &[("group", id), ("term", term), ("member", &name(*member))],
             ),
         }
--- a/src/node/driver/reaching.rs
+++ b/src/node/driver/reaching.rs
@@ -61,8 +61,8 @@
         });
         if changed {
             let kind = match cut_off {
-                true => &events::CUT_OFF,
-                false => &events::REJOINED,
+                true => &events::PARTITIONED,
+                false => &events::PARTITION_HEALED,
             };
             events::emit(&self.context.log, kind, &[]);
         }
@@ -73,7 +73,7 @@
 
     fn warn_neighbours(&self) {
         let settings = &self.context.settings;
-        if !settings.domain_loss {
+        if !settings.tolerate_domain_loss {
             return;
         }
         let boxes = self.context.boxes.borrow().clone();
@@ -91,7 +91,11 @@
             return;
         }
         if self.reach.warn(self.context.now()) {
-            events::emit(&self.context.log, &events::CUT_WARNING, &[("from", &from)]);
+            events::emit(
+                &self.context.log,
+                &events::PARTITION_ALERT,
+                &[("from", &from)],
+            );
             self.warn_neighbours();
         }
         self.hurry();
--- a/src/node/duty.rs
+++ b/src/node/duty.rs
@@ -75,6 +75,6 @@
         ("generation", &duty.generation),
         ("error", error),
     ];
-    events::emit(&context.log, &events::DUTY_ALONE, &fields);
+    events::emit(&context.log, &events::DUTY_WITHOUT_TABLE, &fields);
     true
 }
--- a/src/node/follow.rs
+++ b/src/node/follow.rs
@@ -57,7 +57,10 @@
 /// Asks the readers of this failure domain in turn, and has the table rest meanwhile.
 pub async fn follow(context: Rc<Context>, keeper: Sender) {
     let mut boxes = context.boxes.clone();
-    let settings = Settings::new(context.settings.apply, context.settings.first_start);
+    let settings = Settings::new(
+        context.settings.apply_deadline,
+        context.settings.first_start,
+    );
     let mut follower = Follower {
         context: context.clone(),
         keeper,
@@ -125,7 +128,7 @@
         let until = self.readers.rests_until();
         let fields: [(_, &dyn std::fmt::Display); 2] =
             [("pace", &pace), ("good_until_ms", &until.as_millis())];
-        events::emit(&self.context.log, &events::PACE, &fields);
+        events::emit(&self.context.log, &events::POLLING_CHANGED, &fields);
     }
 
     /// Asks one reader; the table is read again as soon as what is known grows stale.
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -80,10 +80,10 @@
             None => Ok(Admitted::AtOnce),
         };
         match &admitted {
-            Ok(Admitted::AtOnce) => self.metrics.operation(&workspace.name, "admitted"),
-            Ok(Admitted::InTurn) => self.metrics.operation(&workspace.name, "waited"),
+            Ok(Admitted::AtOnce) => self.metrics.count_operation(&workspace.name, "admitted"),
+            Ok(Admitted::InTurn) => self.metrics.count_operation(&workspace.name, "waited"),
             Err(refusal) => {
-                self.metrics.operation(&workspace.name, "over limit");
+                self.metrics.count_operation(&workspace.name, "over limit");
                 self.note_spent(workspace, refusal);
             }
         }
@@ -105,7 +105,7 @@
         let retry_after = refusal.retry_after.as_millis();
         let fields: [(_, &dyn std::fmt::Display); 2] =
             [("workspace", &workspace.name), ("retry_ms", &retry_after)];
-        events::emit(&self.log, &events::LIMITED, &fields);
+        events::emit(&self.log, &events::LIMIT_REACHED, &fields);
     }
 
     async fn admit_limited(
@@ -122,7 +122,7 @@
             let spend = |purse: &mut Allowance, now| purse.spend(waiting, now);
             let wanted = match self.limits.purse(&id, self.now(), spend) {
                 Spending::Paid => return Ok(Admitted::AtOnce),
-                Spending::Exhausted(_) if self.settings.limit_waits => {
+                Spending::Exhausted(_) if self.settings.queue_over_limit => {
                     return self.wait_for_turn(&id, limit, aim / TURN_PART).await;
                 }
                 Spending::Exhausted(wait) => return Err(Refusal::new(Reason::Limit, wait)),
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -68,7 +68,7 @@
 impl Owner {
     pub fn new(context: Rc<Context>, pool: Rc<Pool>) -> Self {
         let settings = &context.settings;
-        let budget = Budget::new(settings.retry_percent, settings.retry_most);
+        let budget = Budget::new(settings.retry_percent, settings.max_saved_retries);
         Self {
             context,
             pool,
@@ -335,7 +335,7 @@
             ("after_ms", &after),
             ("error", error),
         ];
-        events::emit(&self.context.log, &events::STATEMENT_LOST, &fields);
+        events::emit(&self.context.log, &events::ANSWER_OVERDUE, &fields);
     }
 
     async fn finish(
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -60,7 +60,7 @@
 ) -> Result<A, HttpError> {
     let body = rmp_serde::to_vec(request).expect("messages are plain data");
     let bytes = context.client.post(address, path, body, wait).await?;
-    rmp_serde::from_slice(&bytes).map_err(|error| HttpError::Broken(error.to_string()))
+    rmp_serde::from_slice(&bytes).map_err(|error| HttpError::Failed(error.to_string()))
 }
 
 /// Has an owner serve an exchange.
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -155,7 +155,7 @@
     });
     let api = Arc::new(Api {
         name: context.settings.name.clone(),
-        admin: context.settings.admin.clone(),
+        admin: context.settings.admin_hash.clone(),
         decisions: decisions_tx,
         keeper: keeper_tx.clone(),
         work: work_tx,
@@ -185,7 +185,7 @@
             let _ = api::serve_metrics(registry, listener).await;
         }));
     }
-    if context.settings.follow {
+    if context.settings.share_table_reads {
         let following = follow::follow(context.clone(), keeper_tx);
         background.push(tokio::task::spawn_local(following));
     }
@@ -206,7 +206,7 @@
     context.away.send_replace(Some(context.now()));
     let _ = leaving_tx.send(true);
     events::emit(log, &events::DRAINING, &[("box", name)]);
-    let end = context.now() + context.live.borrow().drain;
+    let end = context.now() + context.live.borrow().drain_timeout;
     drain(&context, &owner, end).await;
     leave(context.clone()).await;
     // Callers may have come meanwhile: the balancer sends some for two seconds.
@@ -228,7 +228,7 @@
 /// Tells the decisions of settings that changed.
 async fn tell_live(context: Rc<Context>, mut live: watch::Receiver<Arc<Live>>) {
     while live.changed().await.is_ok() {
-        if let Some(most) = live.borrow_and_update().leave_most {
+        if let Some(most) = live.borrow_and_update().member_drain_limit {
             let _ = context.decisions.send(Message::LeaveMost(most));
         }
     }
@@ -252,7 +252,7 @@
 /// that starts in a cut failure domain would be the only one of it that calls itself ready,
 /// and get all of its callers.
 async fn tell_ready(context: Rc<Context>, ready: watch::Sender<bool>) {
-    if context.settings.domain_loss {
+    if context.settings.tolerate_domain_loss {
         let mut settled = context.settled.subscribe();
         let _ = tokio::time::timeout(SETTLE_WAIT, settled.wait_for(|settled| *settled)).await;
     }
@@ -294,7 +294,7 @@
         tokio::time::sleep(LACKED.mul_f64(jitter)).await;
         let leaving = *context.leaving.borrow();
         if lacks(&boxes.borrow_and_update()) && !leaving {
-            events::emit(&context.log, &events::LISTED_AGAIN, &[]);
+            events::emit(&context.log, &events::RELISTED, &[]);
             put_on_list(&context, &listing).await;
         }
     }
@@ -305,7 +305,7 @@
         let Err(error) = context.roster.enter(listing).await else {
             return;
         };
-        events::emit(&context.log, &events::NOT_LISTED, &[("error", &error)]);
+        events::emit(&context.log, &events::LISTING_FAILED, &[("error", &error)]);
         tokio::time::sleep(ENTER_AGAIN).await;
     }
 }
@@ -315,9 +315,9 @@
     match tokio::time::timeout(LEAVE_WAIT, left).await {
         Ok(Ok(())) => {}
         Ok(Err(error)) => {
-            events::emit(&context.log, &events::NOT_LISTED, &[("error", &error)]);
+            events::emit(&context.log, &events::LISTING_FAILED, &[("error", &error)]);
         }
-        Err(late) => events::emit(&context.log, &events::NOT_LISTED, &[("error", &late)]),
+        Err(late) => events::emit(&context.log, &events::LISTING_FAILED, &[("error", &late)]),
     }
 }
 
@@ -374,7 +374,7 @@
             ("revision", &revision),
             ("deleted", &deleted),
         ];
-        events::emit(log, &events::CHANGED, &fields);
+        events::emit(log, &events::RESOURCE_CHANGED, &fields);
     }
 }
 
--- a/src/node/session.rs
+++ b/src/node/session.rs
@@ -114,7 +114,7 @@
         let served = self.attempt(exchange).await;
         let took = self.context.now() - start;
         let outcome = served.as_ref().map_or_else(Failure::reason, |_| "served");
-        self.context.metrics.answered(outcome, scope, took);
+        self.context.metrics.record_answer(outcome, scope, took);
         match served {
             Ok((reply, owner)) => {
                 self.took(&reply, owner, exchange, scope);
@@ -175,7 +175,7 @@
             ("waited_ms", &took.as_millis()),
             ("retry_ms", &retry_after),
         ];
-        events::emit(&self.context.log, &events::GIVEN_UP, &fields);
+        events::emit(&self.context.log, &events::REQUEST_ABANDONED, &fields);
     }
 
     /// Has the exchange served by an owner: the one that holds our connection,
--- a/src/platform/callers.rs
+++ b/src/platform/callers.rs
@@ -16,7 +16,7 @@
 use crate::borders::upstream::{Begin, Opening, Prepared, Setup, Status, Values};
 use crate::decisions::position::Position;
 use crate::declarations::resource::{Database, Workspace};
-use crate::declarations::snapshot::Stranger;
+use crate::declarations::snapshot::UnknownKey;
 use crate::events;
 use crate::node::context::{Caller, Context};
 use crate::node::entry::Entry;
@@ -80,7 +80,7 @@
         )
         .await;
     }
-    if context.callers.get() > context.live.borrow().callers {
+    if context.callers.get() > context.live.borrow().max_callers {
         return refuse(
             &mut channel,
             code::OVERLOAD,
@@ -96,7 +96,7 @@
         context.metrics.strangers.add(1, &[]);
         return refuse(&mut channel, code::NO_KEY, &stranger.to_string()).await;
     }
-    if context.is_away_for(context.settings.balancer_turn) {
+    if context.is_away_for(context.settings.max_balancer_delay) {
         // Refused before READY: closing a started session would look like a lost answer.
         let text = format!(
             "not run: callers are served elsewhere; retry after {} ms",
@@ -187,7 +187,9 @@
         loop {
             // Idle sessions are closed only once the balancer sends no callers to this box, so
             // that they reconnect to another box.
-            let turned_away = self.context.away_for(self.context.settings.balancer_turn);
+            let turned_away = self
+                .context
+                .away_for(self.context.settings.max_balancer_delay);
             let idle = self.open.is_none();
             let line = tokio::select! {
                 biased;
@@ -376,7 +378,7 @@
 
     /// Returns the caller's workspace. Fails if the key is no longer valid, or belongs to
     /// another workspace than at the start of the open transaction.
-    fn check_caller(&self, database: &Database) -> Result<Option<Arc<Workspace>>, Stranger> {
+    fn check_caller(&self, database: &Database) -> Result<Option<Arc<Workspace>>, UnknownKey> {
         let workspace = self.context.caller(database, &self.key)?;
         let Some(open) = &self.open else {
             return Ok(workspace);
@@ -384,7 +386,7 @@
         let name = |workspace: &Option<Arc<Workspace>>| workspace.as_ref().map(|w| w.name.clone());
         match name(&workspace) == name(&open.workspace) {
             true => Ok(workspace),
-            false => Err(Stranger),
+            false => Err(UnknownKey),
         }
     }
 
@@ -394,7 +396,7 @@
         if self.open.is_some() {
             self.session.fail();
         }
-        Outcome::Error(code::NO_KEY, Stranger.to_string())
+        Outcome::Error(code::NO_KEY, UnknownKey.to_string())
     }
 
     /// Serves a statement. Returns early if the caller disconnects.
--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -97,7 +97,7 @@
                 ("x-fencing-token", order.generation.to_string()),
             ],
             body: body.to_string().into_bytes(),
-            wait: ORDER_TIMEOUT,
+            timeout: ORDER_TIMEOUT,
         };
         let answered = self.client.call(call).await;
         answered
--- a/src/platform/node_file.rs
+++ b/src/platform/node_file.rs
@@ -155,7 +155,7 @@
 }
 
 fn config_apply_ms() -> f64 {
-    Run::default().apply.as_secs_f64() * 1_000.0
+    Run::default().apply_deadline.as_secs_f64() * 1_000.0
 }
 
 impl File {
@@ -265,7 +265,7 @@
     /// Returns the settings that a running box adopts.
     pub fn live_settings(&self) -> Live {
         Live {
-            leave_most: Some(self.group_settings().drain_limit),
+            member_drain_limit: Some(self.group_settings().drain_limit),
             ..Live::new(&self.run_settings())
         }
     }
@@ -327,23 +327,23 @@
             platform: self.platform.address.clone(),
             peers: self.seeds.clone(),
             log: Format::Json,
-            connect_wait: CONNECT_TIMEOUT,
-            callers: (self.limits.max_fds * CALLERS_PERCENT_OF_FDS / 100) as usize,
-            drain: grace.saturating_sub(KILL_MARGIN),
-            balancer_turn: MAX_BALANCER_DELAY,
-            balancer_notice: MEAN_BALANCER_DELAY,
+            connect_timeout: CONNECT_TIMEOUT,
+            max_callers: (self.limits.max_fds * CALLERS_PERCENT_OF_FDS / 100) as usize,
+            drain_timeout: grace.saturating_sub(KILL_MARGIN),
+            max_balancer_delay: MAX_BALANCER_DELAY,
+            mean_balancer_delay: MEAN_BALANCER_DELAY,
             // Not needed: every box learns of changes from the store.
             fanout: 0,
             retry_percent: RETRY_PERCENT,
-            retry_most: MAX_SAVED_RETRIES,
+            max_saved_retries: MAX_SAVED_RETRIES,
             duty: true,
-            follow: true,
+            share_table_reads: true,
             link_mbps: self.limits.link_mbps as u32,
-            apply: self.apply(),
+            apply_deadline: self.apply(),
             limit_slack: self.limit_slack(),
             limit_overage: self.limit_overage(),
-            limit_waits: self.has_contract(PRESSURE_CONTRACT),
-            domain_loss: self.tolerates_domain_loss(),
+            queue_over_limit: self.has_contract(PRESSURE_CONTRACT),
+            tolerate_domain_loss: self.tolerates_domain_loss(),
             first_start: self.bootstrap,
             ..Run::default()
         }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -248,7 +248,7 @@
             bearer: None,
             headers: vec![("content-type", "application/json".to_owned())],
             body,
-            wait: CALL_TIMEOUT,
+            timeout: CALL_TIMEOUT,
         };
         let (body, era) = self.call(call).await?;
         let committed: Committed = decode(&body)?;
@@ -264,11 +264,13 @@
     async fn call(&self, call: Call<'_>) -> Result<(bytes::Bytes, u64), StoreError> {
         let answer = self
             .client
-            .ask(call)
+            .send(call)
             .await
             .map_err(|error| store_error(error, 0))?;
         let era = self.check_answer_era(&answer)?;
-        let body = answer.done().map_err(|error| store_error(error, era))?;
+        let body = answer
+            .into_success()
+            .map_err(|error| store_error(error, era))?;
         Ok((body, era))
     }
 
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -122,7 +122,7 @@
             if let (Some(before), Some(now)) = (before, now) {
                 self.metrics.older_copies.add(1, &[]);
                 let fields: [(_, &dyn std::fmt::Display); 2] = [("era", &now), ("before", &before)];
-                events::emit(&self.log, &events::OLDER_COPY, &fields);
+                events::emit(&self.log, &events::TABLE_ROLLED_BACK, &fields);
             }
             before = now;
         }
@@ -156,7 +156,7 @@
             };
             let asked = Instant::now();
             let cause = call_cause(after, errors, rested);
-            self.metrics.called_store(feed.table(), cause);
+            self.metrics.count_store_call(feed.table(), cause);
             let read = match after {
                 None => self.store.read_all(feed.table()).await,
                 Some(after) => {
@@ -271,12 +271,16 @@
             None => {
                 answering.insert(feed);
                 self.recoveries.send_modify(|count| *count += 1);
-                events::emit(&self.log, &events::SOURCE_BACK, &[("table", &name)]);
+                events::emit(
+                    &self.log,
+                    &events::STORE_TABLE_RECOVERED,
+                    &[("table", &name)],
+                );
             }
             Some(error) => {
                 answering.remove(&feed);
                 let fields: [(_, &dyn std::fmt::Display); 2] = [("table", &name), ("error", error)];
-                events::emit(&self.log, &events::SOURCE_DOWN, &fields);
+                events::emit(&self.log, &events::STORE_TABLE_DOWN, &fields);
             }
         }
         drop(answering);
@@ -362,7 +366,7 @@
                 .map(|value| value.to_string().into_bytes()),
         };
         let changes: Vec<Change> = commit.writes.iter().map(change).collect();
-        self.metrics.called_store(Feed::Boxes.table(), "record");
+        self.metrics.count_store_call(Feed::Boxes.table(), "record");
         match self.store.transact(Feed::Boxes.table(), &changes).await {
             // Committed in a newer era than that of its conditions: a condition may have matched
             // a version that the older copy assigned to another row.
@@ -484,7 +488,8 @@
             expect: None,
             value,
         };
-        self.metrics.called_store(Feed::Boxes.table(), "listing");
+        self.metrics
+            .count_store_call(Feed::Boxes.table(), "listing");
         let done = self.store.transact(Feed::Boxes.table(), &[change]).await;
         done.map(|_| ()).map_err(table_error)
     }
--- a/src/platform/table/cache.rs
+++ b/src/platform/table/cache.rs
@@ -189,7 +189,7 @@
             return;
         }
         let fields: [(_, &dyn std::fmt::Display); 2] = [("row", key), ("error", error)];
-        events::emit(&self.log, &events::BAD_ROW, &fields);
+        events::emit(&self.log, &events::INVALID_ROW, &fields);
     }
 
     fn mark_readable(&mut self, feed: Feed, key: &Arc<str>) {
@@ -249,7 +249,7 @@
 
     fn log_older_manifest(&self, version: u64, known: u64) {
         let fields: [(_, &dyn std::fmt::Display); 2] = [("version", &version), ("known", &known)];
-        events::emit(&self.log, &events::OLDER_DECLARATIONS, &fields);
+        events::emit(&self.log, &events::STALE_DECLARATIONS, &fields);
     }
 
     fn put_member(&mut self, id: &Arc<str>, revision: Revision, value: Option<&[u8]>) {
--- a/src/platform/table/watch_gap.rs
+++ b/src/platform/table/watch_gap.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::cache::Written;
-use crate::http::SILENCE;
+use crate::http::DEAD_CONNECTION_TIMEOUT;
 
 /// Time within which rows that an older copy of the store lacks are written again. Members write
 /// about every second, and write a change at once.
@@ -44,7 +44,7 @@
     /// wait, the store may have held changes back since the call.
     pub fn open_unanswered(&mut self, asked: Instant, wait: Duration) {
         let overdue = asked.elapsed() > wait;
-        let silence_start = Instant::now().checked_sub(SILENCE);
+        let silence_start = Instant::now().checked_sub(DEAD_CONNECTION_TIMEOUT);
         self.open(silence_start.filter(|_| !overdue).unwrap_or(asked));
     }
 
--- a/src/postgres/entry.rs
+++ b/src/postgres/entry.rs
@@ -123,7 +123,7 @@
         channel: &mut Channel,
         startup: &Startup,
     ) -> Result<Result<Accepted, Report>, ChannelError> {
-        if self.context.callers.get() > self.context.live.borrow().callers {
+        if self.context.callers.get() > self.context.live.borrow().max_callers {
             let report = Report::fatal("53300", "this box takes no more callers; try another");
             return Ok(Err(report));
         }
@@ -162,7 +162,7 @@
         match channel.read_front().await? {
             PgWireFrontendMessage::PasswordMessageFamily(message) => {
                 let password = message.into_password()?;
-                Ok(secret::fits(&password.password, hash))
+                Ok(secret::matches_hash(&password.password, hash))
             }
             other => Err(ChannelError::Unexpected(format!("{other:?}"))),
         }
--- a/src/secret.rs
+++ b/src/secret.rs
@@ -10,7 +10,7 @@
 }
 
 /// Whether a secret has this hash.
-pub fn fits(secret: &str, expected: &str) -> bool {
+pub fn matches_hash(secret: &str, expected: &str) -> bool {
     let found = hash(secret);
     let expected = expected.to_ascii_lowercase();
     found.as_bytes().ct_eq(expected.as_bytes()).into()
--- a/src/standin/control.rs
+++ b/src/standin/control.rs
@@ -130,8 +130,8 @@
             .client
             .post(&self.address.control, "/control", body, wait);
         let bytes = sent.await.map_err(|error| match error {
-            HttpError::Unsent(_) | HttpError::Broken(_) => MemberError::Broken,
-            HttpError::Late => MemberError::Silent,
+            HttpError::Unsent(_) | HttpError::Failed(_) => MemberError::Broken,
+            HttpError::TimedOut => MemberError::Silent,
             HttpError::Status { code, .. } => MemberError::Nonsense(format!("status {code}")),
         })?;
         let reply = rmp_serde::from_slice(&bytes)
--- a/src/standin/ports.rs
+++ b/src/standin/ports.rs
@@ -17,7 +17,7 @@
     let platform = Rc::new(Platform::new(client.clone(), settings.platform.clone()));
     let dialer = Remote {
         from,
-        wait: settings.connect_wait,
+        wait: settings.connect_timeout,
     };
     let members = Remotes {
         client: client.clone(),
--- a/src/standin/table.rs
+++ b/src/standin/table.rs
@@ -35,9 +35,9 @@
 
     /// What the table answers, and the era that it is of.
     async fn ask<T: DeserializeOwned>(&self, call: Call<'_>) -> Result<(T, u64), TableError> {
-        let answer = self.client.ask(call).await.map_err(down)?;
+        let answer = self.client.send(call).await.map_err(down)?;
         let era = self.era_of(&answer)?;
-        let body = answer.done().map_err(down)?;
+        let body = answer.into_success().map_err(down)?;
         Ok((decode(&body)?, era))
     }
 
--- a/src/trial/cluster.rs
+++ b/src/trial/cluster.rs
@@ -199,8 +199,8 @@
             platform: format!("{}:{PLATFORM_PORT}", self.platform.ip).into(),
             peers: vec![format!("{}:{API_PORT}", Self::ip_in(self.net, 0, FIRST_BOX)).into()],
             log: self.shape.log,
-            poll: self.shape.poll,
-            admin: Some(secret::hash("admin").into()),
+            poll_interval: self.shape.poll,
+            admin_hash: Some(secret::hash("admin").into()),
             ..Run::default()
         }
     }
@@ -247,7 +247,7 @@
             bearer: None,
             headers: vec![("content-type", "application/json".to_owned())],
             body: body.to_string().into_bytes(),
-            wait: WAIT,
+            timeout: WAIT,
         };
         self.http.call(call).await.map_err(|error| anyhow!(error))?;
         Ok(())
@@ -343,7 +343,7 @@
             bearer: Some(token),
             headers: vec![("content-type", "application/json".to_owned())],
             body: body.to_string().into_bytes(),
-            wait: Duration::from_secs(10),
+            timeout: Duration::from_secs(10),
         };
         let bytes = self.http.call(call).await?;
         Ok(serde_json::from_slice(&bytes).unwrap_or_default())
--- a/tests/platform/reading.rs
+++ b/tests/platform/reading.rs
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use larkfall::borders::roster::{Listing, Roster};
 use larkfall::borders::table::{Revision, Row, Scan, Table};
-use larkfall::http::{Client, SILENCE};
+use larkfall::http::{Client, DEAD_CONNECTION_TIMEOUT};
 use larkfall::metrics::Metrics;
 use larkfall::platform::store::Store as Reader;
 use larkfall::platform::table::{Mirror, Settings};
@@ -156,14 +156,14 @@
                 .await
                 .lag_ms
                 .map(Duration::from_millis);
-            expect_that!(prompt, some(lt(SILENCE)));
+            expect_that!(prompt, some(lt(DEAD_CONNECTION_TIMEOUT)));
             proxy.hush();
             store.put("servers", "i-2", &entry("draining"));
             let silent = scan_until(&mirror, "i-2")
                 .await
                 .lag_ms
                 .map(Duration::from_millis);
-            expect_that!(silent, some(ge(SILENCE)));
+            expect_that!(silent, some(ge(DEAD_CONNECTION_TIMEOUT)));
         })
         .await;
 }
--- a/tests/platform/silence.rs
+++ b/tests/platform/silence.rs
@@ -81,7 +81,7 @@
 /// 0.6 s after that, on all within 15 ms of each other, as their questions to peers ended.
 #[gtest]
 fn a_wait_on_a_silent_connection_is_over_and_asked_again_in_time() {
-    let latest = http::SILENCE + table::FIRST_RETRY_DELAY + http::CONNECT_WAIT;
+    let latest = http::DEAD_CONNECTION_TIMEOUT + table::FIRST_RETRY_DELAY + http::CONNECT_TIMEOUT;
     expect_that!(latest, le(CONTACT));
 }
 
--- a/tests/unit/declarations.rs
+++ b/tests/unit/declarations.rs
@@ -1,6 +1,6 @@
 use googletest::prelude::*;
 use larkfall::declarations::check;
-use larkfall::declarations::entry::read;
+use larkfall::declarations::entry::parse;
 
 const GOOD: &str = r#"
 [[partner]]
@@ -13,7 +13,7 @@
 "#;
 
 fn findings(text: &str) -> Vec<String> {
-    let (entries, mut findings) = read("a.toml", text);
+    let (entries, mut findings) = parse("a.toml", text);
     findings.extend(check::all(&entries).err().unwrap_or_default());
     findings.iter().map(ToString::to_string).collect()
 }
--- a/tests/unit/settings.rs
+++ b/tests/unit/settings.rs
@@ -15,7 +15,7 @@
         variable: &|name| find(variables, name),
     };
     let findings = |found: Vec<_>| found.iter().map(ToString::to_string).collect();
-    Run::read(source).map_err(findings)
+    Run::from_source(source).map_err(findings)
 }
 
 #[gtest]
@@ -24,7 +24,7 @@
     let run = read(&flags, &[("LARKFALL_NAME", "b"), ("LARKFALL_POLL_MS", "7")]);
     let run = run.expect("the settings are good");
     expect_that!(&*run.name, eq("a"));
-    expect_that!(run.poll.as_millis(), eq(7));
+    expect_that!(run.poll_interval.as_millis(), eq(7));
 }
 
 #[gtest]
