--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,3 +1,3 @@
-//! The command line, parsed by `xflags`.
+//! The command line.
 
 pub mod flags;
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -1,4 +1,4 @@
-//! One file per command.
+//! The commands of the program, one module each, with what they share.
 
 pub mod check;
 pub mod demo;
@@ -15,12 +15,12 @@
 use crate::declarations::finding::Finding;
 use crate::events;
 
-/// How a command ended, as the process's exit code.
+/// Result of a command; the values are the process's exit codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
     Done = 0,
     Failed = 1,
-    /// Nothing was started or sent.
+    /// The input was invalid: nothing was started or sent.
     BadInput = 2,
 }
 
@@ -31,13 +31,13 @@
     }
 }
 
-/// Takes requests to read settings again where all of them hold from start to stop. They must
-/// not end the process, which is what they do when nobody listens.
+/// Logs and otherwise ignores SIGHUP, for a command whose settings can't change while it runs.
+/// Without a handler the signal would end the process.
 ///
 /// # Errors
 ///
-/// When the signal cannot be listened for.
-fn hold_settings(log: &Logger) -> std::io::Result<()> {
+/// Returns an error if the handler can't be installed.
+fn ignore_hangup(log: &Logger) -> std::io::Result<()> {
     let log = log.clone();
     let mut hangup = signal(SignalKind::hangup())?;
     tokio::task::spawn_local(async move {
@@ -52,13 +52,13 @@
     Ok(())
 }
 
-/// Turns true when the process is told to stop.
+/// Returns a channel that turns true on SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// When the signals cannot be listened for.
-fn stopped() -> std::io::Result<watch::Receiver<bool>> {
-    let (stop, stopped) = watch::channel(false);
+/// Returns an error if the handlers can't be installed.
+fn stop_signal() -> std::io::Result<watch::Receiver<bool>> {
+    let (stop_tx, stop_rx) = watch::channel(false);
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::task::spawn_local(async move {
@@ -66,8 +66,9 @@
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        let _ = stop.send(true);
+        let _ = stop_tx.send(true);
+        // Keeps the sender, since the receiver would fail without it.
         std::future::pending::<()>().await;
     });
-    Ok(stopped)
+    Ok(stop_rx)
 }
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `larkfall check`: declarations, offline.
+//! `larkfall check`: validates files of declarations offline.
 
 use std::path::{Path, PathBuf};
 
@@ -9,7 +9,7 @@
 use crate::declarations::entry::{self, Entry};
 use crate::declarations::finding::Finding;
 
-/// Reads all declarations below the paths, in order of name.
+/// Reads all declarations in the files and folders, sorted by path within each folder.
 pub fn load_entries(paths: &[PathBuf]) -> anyhow::Result<(Vec<Entry>, Vec<Finding>)> {
     let mut entries = Vec::new();
     let mut findings = Vec::new();
@@ -18,14 +18,15 @@
             let name = file.display().to_string();
             let text =
                 std::fs::read_to_string(&file).with_context(|| format!("can't read {name}"))?;
-            let (more, wrong) = entry::parse(&name, &text);
-            entries.extend(more);
-            findings.extend(wrong);
+            let (file_entries, file_findings) = entry::parse(&name, &text);
+            entries.extend(file_entries);
+            findings.extend(file_findings);
         }
     }
     Ok((entries, findings))
 }
 
+/// Returns the file itself, or all TOML files below the folder.
 fn files(path: &Path) -> anyhow::Result<Vec<PathBuf>> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -1,4 +1,5 @@
-//! `larkfall demo`: a whole system on loopback, a killed primary, and the two measures.
+//! `larkfall demo`: runs a whole system on loopback, kills a primary and measures the failover gap
+//! and the share of reads served by replicas.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 
 const DEFAULT_SECONDS: u64 = 8;
 
-/// What the demo measured.
+/// Results of the demo.
 #[derive(Debug, Serialize)]
 struct Measures {
     replica_read_share: f64,
@@ -26,7 +27,7 @@
 
 pub fn run(json: bool, seconds: Option<u64>) -> anyhow::Result<Exit> {
     let seconds = Duration::from_secs(seconds.unwrap_or(DEFAULT_SECONDS));
-    // The command line's own loop is running already, so the demo gets a thread.
+    // The current thread runs the command line's event loop already.
     let demo = std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -46,7 +47,7 @@
     }
 }
 
-async fn measure(length: Duration) -> anyhow::Result<Measures> {
+async fn measure(duration: Duration) -> anyhow::Result<Measures> {
     let shape = Shape::default();
     let mut cluster = Cluster::start(shape, &Threads::default()).await?;
     let mut client = cluster.connect(0, "market", None).await?;
@@ -55,16 +56,16 @@
     let boxes = (0..cluster.boxes.len()).map(|i| cluster.sql_address(i));
     let mix = Mix::default();
     let workload = Workload::start(boxes.collect(), "huerto", "market", &mix);
-    tokio::time::sleep(length / 2).await;
-    let killed = workload.elapsed();
+    tokio::time::sleep(duration / 2).await;
+    let killed_at = workload.elapsed();
     let primary = cluster.primary(0).await.unwrap_or_default();
     cluster.members[0][primary].running.kill();
-    tokio::time::sleep(length / 2).await;
+    tokio::time::sleep(duration / 2).await;
     let (verdict, journal) = workload.finish().await?;
     let replica = cluster.counter("larkfall_reads_by_replica_total").await;
     let primary = cluster.counter("larkfall_reads_by_primary_total").await;
     let journal = journal.borrow();
-    let gap = journal.gap_after(killed).unwrap_or(length);
+    let gap = journal.gap_after(killed_at).unwrap_or(duration);
     Ok(Measures {
         replica_read_share: replica / (replica + primary).max(1.0),
         failover_gap_ms: gap.as_secs_f64() * 1_000.0,
--- a/src/commands/operate.rs
+++ b/src/commands/operate.rs
@@ -1,4 +1,4 @@
-//! `larkfall apply`, `get`, `watch`, `delete` and `dump`: the operator's side of the API.
+//! `larkfall apply`, `get`, `watch`, `delete` and `dump`: the operator's client of the API.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::Path;
@@ -13,11 +13,12 @@
 use crate::declarations::check;
 use crate::http::{Call, Client, HttpError};
 
-const WAIT: Duration = Duration::from_secs(30);
-const IN_FORCE: Duration = Duration::from_secs(60);
-const STEP: Duration = Duration::from_millis(50);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time for a change to reach all boxes.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A box's API as an operator calls it.
+/// The API of a box, called with an operator's token.
 pub struct Remote {
     client: Client,
     address: String,
@@ -53,15 +54,15 @@
             bearer: Some(&self.token),
             headers,
             body: body.map_or(Vec::new(), |body| body.to_string().into_bytes()),
-            timeout: WAIT,
+            timeout: CALL_TIMEOUT,
         };
         let bytes = self.client.call(call).await?;
         serde_json::from_slice(&bytes).map_err(|error| HttpError::Failed(error.to_string()))
     }
 }
 
-/// Prints what came, or the problem that the API names.
-fn show(answer: Result<Value, HttpError>) -> anyhow::Result<Exit> {
+/// Prints the answer, or the error that the API returned.
+fn print_answer(answer: Result<Value, HttpError>) -> anyhow::Result<Exit> {
     match answer {
         Ok(value) => {
             println!("{value:#}");
@@ -101,7 +102,7 @@
         .call(Method::POST, "/v1/resources", None, Some(&body))
         .await;
     let Ok(done) = &answer else {
-        return show(answer);
+        return print_answer(answer);
     };
     for step in done["plan"].as_array().into_iter().flatten() {
         let action = step["action"].as_str().unwrap_or_default();
@@ -112,7 +113,7 @@
     }
     println!("revision {}", done["revision"]);
     if wait && !dry_run {
-        in_force(remote, done["revision"].as_u64().unwrap_or_default()).await?;
+        wait_in_force(remote, done["revision"].as_u64().unwrap_or_default()).await?;
     }
     Ok(Exit::Done)
 }
@@ -129,11 +130,11 @@
     }
 }
 
-/// Waits until every box that the platform lists has the revision in force.
-async fn in_force(remote: &Remote, revision: u64) -> anyhow::Result<()> {
-    let end = tokio::time::Instant::now() + IN_FORCE;
+/// Waits until the revision is in force on every box that the platform lists.
+async fn wait_in_force(remote: &Remote, revision: u64) -> anyhow::Result<()> {
+    let end = tokio::time::Instant::now() + APPLY_TIMEOUT;
     loop {
-        let behind = behind(remote, revision).await?;
+        let behind = boxes_behind(remote, revision).await?;
         if behind.is_empty() {
             println!("in force everywhere");
             return Ok(());
@@ -141,17 +142,17 @@
         if tokio::time::Instant::now() > end {
             return Err(anyhow!("not in force on {}", behind.join(", ")));
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Boxes that have not got the revision yet.
-async fn behind(remote: &Remote, revision: u64) -> anyhow::Result<Vec<String>> {
+/// Returns the names of boxes that do not have the revision yet.
+async fn boxes_behind(remote: &Remote, revision: u64) -> anyhow::Result<Vec<String>> {
     let dump = remote.call(Method::GET, "/dump", None, None).await?;
     let mut behind = Vec::new();
     for listing in dump["boxes"].as_array().into_iter().flatten() {
         let address = listing["address"].as_str().unwrap_or_default();
-        let body = remote.client.get(address, "/dump", WAIT).await;
+        let body = remote.client.get(address, "/dump", CALL_TIMEOUT).await;
         let state: Option<Value> = body.ok().and_then(|b| serde_json::from_slice(&b).ok());
         let found = state.and_then(|state| state["revision"].as_u64());
         if found.is_none_or(|found| found < revision) {
@@ -169,22 +170,22 @@
         true => format!("/v1/resources/{key}"),
         false => format!("/v1/resources?kind={key}"),
     };
-    show(remote.call(Method::GET, &path, None, None).await)
+    print_answer(remote.call(Method::GET, &path, None, None).await)
 }
 
 pub async fn delete(remote: &Remote, key: &str, version: Option<u64>) -> anyhow::Result<Exit> {
     let path = format!("/v1/resources/{key}");
-    show(remote.call(Method::DELETE, &path, version, None).await)
+    print_answer(remote.call(Method::DELETE, &path, version, None).await)
 }
 
 pub async fn watch(remote: &Remote, since: u64, rounds: Option<u64>) -> anyhow::Result<Exit> {
     let mut since = since;
     let mut round = 0;
-    while rounds.is_none_or(|most| round < most) {
+    while rounds.is_none_or(|max| round < max) {
         let path = format!("/v1/watch?since={since}");
         let changes = match remote.call(Method::GET, &path, None, None).await {
             Ok(changes) => changes,
-            failed => return show(failed),
+            failed => return print_answer(failed),
         };
         for change in changes["changes"].as_array().into_iter().flatten() {
             println!("{change}");
@@ -196,5 +197,5 @@
 }
 
 pub async fn dump(remote: &Remote) -> anyhow::Result<Exit> {
-    show(remote.call(Method::GET, "/dump", None, None).await)
+    print_answer(remote.call(Method::GET, "/dump", None, None).await)
 }
--- a/src/commands/reload.rs
+++ b/src/commands/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a box runs: read again on SIGHUP, or when the file was written.
+//! Reloads the settings file of a running box on SIGHUP or when the file has changed.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,14 +14,13 @@
 use crate::metrics::Metrics;
 use crate::platform::node_file::File;
 
-/// Time between two looks whether the file was written without a signal: a change is taken
-/// within a few seconds, for one look at the file's date.
-const LOOK: Duration = Duration::from_secs(5);
+/// Interval at which the file's modification time is checked, for changes without a signal.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Keeps a running box's settings up with their file.
+/// Applies changes of the settings file to a running box.
 pub struct Reload {
     pub path: String,
-    /// As last taken.
+    /// The settings in force, with startup values for those that need a restart.
     pub file: File,
     pub log: Logger,
     pub metrics: Rc<Metrics>,
@@ -29,57 +28,58 @@
 }
 
 impl Reload {
-    /// Starts to listen for the signal and to look at the file.
+    /// Starts to watch for the signal and for changes of the file.
     ///
     /// # Errors
     ///
-    /// When the signal cannot be listened for.
+    /// Returns an error if the signal handler can't be installed.
     pub fn start(self) -> std::io::Result<()> {
         let hangup = signal(SignalKind::hangup())?;
-        tokio::task::spawn_local(self.keep_up(hangup));
+        tokio::task::spawn_local(self.run(hangup));
         Ok(())
     }
 
-    async fn keep_up(mut self, mut hangup: Signal) {
-        let mut written = self.written();
+    async fn run(mut self, mut hangup: Signal) {
+        let mut modified = self.modified();
         loop {
             let signalled = tokio::select! {
                 signal = hangup.recv() => signal.is_some(),
-                () = tokio::time::sleep(LOOK) => false,
+                () = tokio::time::sleep(FILE_CHECK_INTERVAL) => false,
             };
-            let now = self.written();
-            if signalled || now != written {
-                self.read();
+            let now = self.modified();
+            if signalled || now != modified {
+                self.reload();
             }
-            written = now;
+            modified = now;
         }
     }
 
-    /// When the file was last written, where that can be told.
-    fn written(&self) -> Option<SystemTime> {
+    /// Returns the file's modification time, if it can be read.
+    fn modified(&self) -> Option<SystemTime> {
         std::fs::metadata(&self.path).ok()?.modified().ok()
     }
 
-    fn read(&mut self) {
+    fn reload(&mut self) {
         match File::read(&self.path) {
-            Ok(file) => self.take(file),
-            Err(findings) => self.refuse(&findings),
+            Ok(file) => self.apply(file),
+            Err(findings) => self.report(&findings),
         }
     }
 
-    /// Takes what may change; a file that holds anything wrong is not taken at all.
-    fn take(&mut self, file: File) {
-        let (taken, held) = self.file.changed_fields(&file);
+    /// Puts the settings that can change into force and logs those that need a restart.
+    fn apply(&mut self, file: File) {
+        let (applied, deferred) = self.file.changed_fields(&file);
         let fields: [(_, &dyn std::fmt::Display); 2] =
-            [("taken", &taken.join(" ")), ("held", &held.join(" "))];
+            [("taken", &applied.join(" ")), ("held", &deferred.join(" "))];
         events::emit(&self.log, &events::SETTINGS_RELOADED, &fields);
         self.metrics.count_settings_read("taken");
         self.live.send_replace(Arc::new(file.live_settings()));
-        // Fields that hold are compared with those of the start.
+        // Fields that need a restart keep their startup values for later comparisons.
         self.file = self.file.with_live_fields(&file);
     }
 
-    fn refuse(&self, findings: &[Finding]) {
+    /// Logs the findings of a file that is not applied.
+    fn report(&self, findings: &[Finding]) {
         self.metrics.count_settings_read("refused");
         for finding in findings {
             let fields: [(_, &dyn std::fmt::Display); 2] =
--- a/src/commands/run.rs
+++ b/src/commands/run.rs
@@ -1,6 +1,6 @@
-//! `larkfall run`: a whole box.
+//! `larkfall run`: runs a box configured by flags and environment variables.
 
-use super::{Exit, hold_settings, print_findings, stopped};
+use super::{Exit, ignore_hangup, print_findings, stop_signal};
 use crate::configs::run::{Run, Source};
 use crate::decisions::group::Settings;
 use crate::events;
@@ -17,7 +17,7 @@
     };
     let log = events::logger(settings.log);
     let ports = ports::standin(&settings);
-    hold_settings(&log)?;
-    node::run::run(settings, Settings::default(), ports, log, stopped()?).await?;
+    ignore_hangup(&log)?;
+    node::run::run(settings, Settings::default(), ports, log, stop_signal()?).await?;
     Ok(Exit::Done)
 }
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `larkfall serve`: a whole box on the users' platform.
+//! `larkfall serve`: runs a box on the users' platform, configured by a settings file.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 use super::reload::Reload;
-use super::{Exit, print_findings, stopped};
+use super::{Exit, print_findings, stop_signal};
 use crate::configs::run::Run;
 use crate::declarations::finding::Finding;
 use crate::events;
@@ -16,7 +16,7 @@
 
 /// Runs a box with the settings file at `path`.
 pub async fn run(path: Option<String>, metrics_port: Option<u16>) -> anyhow::Result<Exit> {
-    let read = path.ok_or_else(no_path);
+    let read = path.ok_or_else(missing_path);
     let read = read.and_then(|path| Ok((node_file::File::read(&path)?, path)));
     let (file, path) = match read {
         Ok(read) => read,
@@ -30,18 +30,18 @@
         ..file.run_settings()
     };
     let log = events::logger(run.log);
-    let at = file.listen_addrs.ready;
-    let listener = TcpListener::bind(at).await;
-    let listener = listener.with_context(|| format!("can't listen on {at}"))?;
-    let (told, asked) = watch::channel(false);
+    let ready_address = file.listen_addrs.ready;
+    let listener = TcpListener::bind(ready_address).await;
+    let listener = listener.with_context(|| format!("can't listen on {ready_address}"))?;
+    let (ready_tx, ready_rx) = watch::channel(false);
     tokio::task::spawn_local(async move {
-        if let Err(error) = ready::serve(listener, asked).await {
-            eprintln!("readiness is not answered any more: {error}");
+        if let Err(error) = ready::serve(listener, ready_rx).await {
+            eprintln!("readiness endpoint stopped: {error}");
         }
     });
     let mut ports = ports::platform(&file, &run, &log);
-    ports.ready = Some(told);
-    let decisions = file.group_settings();
+    ports.ready = Some(ready_tx);
+    let group_settings = file.group_settings();
     let (live_tx, live) = watch::channel(Arc::new(file.live_settings()));
     ports.live = Some(live);
     let reload = Reload {
@@ -52,17 +52,17 @@
         live: live_tx,
     };
     reload.start()?;
-    node::run::run(run, decisions, ports, log, stopped()?).await?;
+    node::run::run(run, group_settings, ports, log, stop_signal()?).await?;
     Ok(Exit::Done)
 }
 
-fn no_path() -> Vec<Finding> {
+fn missing_path() -> Vec<Finding> {
     vec![finding(node_file::PATH_VARIABLE, "names no settings file")]
 }
 
-fn finding(place: &str, message: &str) -> Finding {
+fn finding(origin: &str, message: &str) -> Finding {
     Finding {
-        file: place.into(),
+        file: origin.into(),
         line: None,
         field: "settings".to_owned(),
         message: message.to_owned(),
--- a/src/commands/standin.rs
+++ b/src/commands/standin.rs
@@ -1,4 +1,4 @@
-//! `larkfall stand-in`: small outside systems for tests and trial.
+//! `larkfall stand-in`: runs small replacements for external systems, for tests and trials.
 
 use anyhow::Context;
 use tokio::net::TcpListener;
@@ -20,7 +20,7 @@
     }
 }
 
-/// Serves a member until one of its listeners fails.
+/// Runs a member until one of its listeners fails.
 pub async fn serve_member(settings: MemberSettings) -> anyhow::Result<()> {
     let sql = TcpListener::bind((settings.ip, settings.sql_port)).await;
     let sql = sql.context("can't listen on the SQL port")?;
@@ -46,7 +46,7 @@
     }
 }
 
-/// Serves a platform until its listener fails.
+/// Runs a platform until its listener fails.
 pub async fn serve_platform(settings: PlatformSettings) -> anyhow::Result<()> {
     let listener = TcpListener::bind((settings.ip, settings.port)).await;
     let listener = listener.context("can't listen")?;
--- a/src/configs.rs
+++ b/src/configs.rs
@@ -1,4 +1,4 @@
-//! Settings, one struct a module, each with its defaults.
+//! Settings of the commands, with their defaults.
 
 pub mod live;
 pub mod run;
--- a/src/configs/live.rs
+++ b/src/configs/live.rs
@@ -1,29 +1,29 @@
-//! Settings that a running box takes over when they change.
+//! Settings that can change while a box runs.
 //!
-//! All others hold until the next start: addresses and names are bound, and what decides how
-//! the table is read would have to change in the middle of a wait.
+//! All others take effect at the next start: addresses and names are in use, and the settings for
+//! reading the table can't change during a long poll.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::run::Run;
 
-/// The settings that may change.
+/// The settings that can change while a box runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Live {
-    /// Callers at once. Those that are there stay.
+    /// Maximum number of concurrent callers. Callers that are connected already stay.
     pub max_callers: usize,
-    /// Time that requests in flight get at a stop.
+    /// Time that requests in flight may take at shutdown.
     pub drain_timeout: Duration,
-    /// Peers to ask when the platform is down before any box is known.
+    /// Peers to ask if the platform is down before any box is known.
     pub peers: Vec<Arc<str>>,
-    /// Time that a leaving member is served; none where that does not change. A member that
-    /// leaves already keeps the shorter of both.
+    /// Time for which a leaving member is still used; `None` if it is fixed. If it changes while a
+    /// member is leaving, the shorter of both times applies to that member.
     pub member_drain_limit: Option<Duration>,
 }
 
 impl Live {
-    /// Those of a box that starts.
+    /// Returns the initial values.
     pub fn new(run: &Run) -> Self {
         Self {
             max_callers: run.max_callers,
--- a/src/configs/run.rs
+++ b/src/configs/run.rs
@@ -1,4 +1,4 @@
-//! Settings of a box: flags and environment, checked together.
+//! Settings of a box, read from flags and environment variables.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -10,63 +10,65 @@
 /// Settings of `larkfall run`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Run {
-    /// The box's name, as the platform lists it.
+    /// The box's name in the platform's list.
     pub name: Arc<str>,
     /// Failure domain.
     pub domain: Arc<str>,
-    /// Address the box listens on and calls from.
+    /// Address on which the box listens and from which it connects.
     pub ip: IpAddr,
-    /// Callers' port.
+    /// Port for callers.
     pub port: u16,
-    /// Port of peers, the resource API, metrics and dump.
+    /// Port for peers, the resource API, metrics and the state dump.
     pub api_port: u16,
-    /// Port that shows the metrics apart from the rest, at the same for all boxes where
-    /// the API's port differs from day to day.
+    /// Separate port for the metrics. It can be the same on all boxes even if their API ports are
+    /// assigned dynamically.
     pub metrics_port: Option<u16>,
     /// `IP:port` of the platform.
     pub platform: Arc<str>,
-    /// `IP:port` of peers to ask when the platform is down at the start.
+    /// `IP:port` of peers to ask if the platform is down at startup.
     pub peers: Vec<Arc<str>>,
-    /// SHA-256 of the token that may declare partners, in hexadecimal.
+    /// SHA-256 of the token that permits declaring partners, in hexadecimal.
     pub admin_hash: Option<Arc<str>>,
     pub log: Format,
-    /// Time between two looks at the table's head.
+    /// Interval at which the table is polled for a new revision.
     pub poll_interval: Duration,
-    /// Peers that news is pushed to.
+    /// Number of peers to which a box pushes changes.
     pub fanout: usize,
-    /// An open transaction without a statement for this long is rolled back.
+    /// Time without a statement after which an open transaction is rolled back.
     pub transaction_idle_timeout: Duration,
-    /// Time a new connection to a member may take.
+    /// Time to open a connection to a member.
     pub connect_timeout: Duration,
-    /// Callers at once.
+    /// Maximum number of concurrent callers.
     pub max_callers: usize,
-    /// Time that requests in flight get at a stop.
+    /// Time that requests in flight may take at shutdown.
     pub drain_timeout: Duration,
-    /// Time after which a balancer sends no callers any more to a box that is not ready.
+    /// Time after which the load balancer certainly sends no callers to a box that is not ready.
     pub max_balancer_delay: Duration,
-    /// Time after which it is expected to send none.
+    /// Mean time after which the load balancer sends no callers to a box that is not ready.
     pub mean_balancer_delay: Duration,
-    /// Retries that each hundred answers earn.
+    /// Retries allowed per hundred successful answers.
     pub retry_percent: u64,
-    /// Retries that can be saved up.
+    /// Unused retries that can accumulate.
     pub max_saved_retries: u64,
-    /// Promotions are ordered under a generation number that is kept in the table.
+    /// Whether a box must hold the duty, whose generation number is kept in the table, to order a
+    /// promotion.
     pub duty: bool,
-    /// Where a failure domain has many boxes, a few of them read the table for all.
+    /// Whether only a few boxes of a large failure domain read the table, on behalf of the others.
     pub share_table_reads: bool,
-    /// Width of the box's link, in Mbit/s; 0 where that is not known.
+    /// Bandwidth of the box's network link in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
-    /// Time in which an accepted change has to be in force.
+    /// Time within which an accepted change must be in force.
     pub apply_deadline: Duration,
-    /// Operations that a workspace may do at once beyond its declared burst.
+    /// Operations that are added to a workspace's declared burst.
     pub limit_slack: u32,
-    /// Part of a workspace's limit by which it may be passed.
+    /// Fraction by which a workspace's rate limit may be exceeded.
     pub limit_overage: f64,
-    /// Operations wait for their turn where a workspace's limit is used up.
+    /// Whether operations beyond a workspace's limit are queued instead of refused.
     pub queue_over_limit: bool,
-    /// The loss of a whole failure domain is to be borne: its boxes warn each other of it.
+    /// Whether the system must tolerate the loss of a whole failure domain. The boxes of a domain
+    /// then alert each other when they detect a partition.
     pub tolerate_domain_loss: bool,
-    /// The whole system starts for the first time: no box is listed yet.
+    /// Whether the whole system starts for the first time, with no box listed yet.
     pub first_start: bool,
 }
 
@@ -106,13 +108,15 @@
     }
 }
 
-/// A setting as written: flag first, then environment.
+/// Where settings are read from. A flag takes precedence over an environment variable.
 pub struct Source<'a> {
+    /// Returns the value of a flag.
     pub flag: &'a dyn Fn(&str) -> Option<String>,
+    /// Returns the value of an environment variable.
     pub variable: &'a dyn Fn(&str) -> Option<String>,
 }
 
-/// Reads settings one by one and collects what is wrong with them.
+/// Reads settings one by one and collects findings about them.
 pub struct Reader<'a> {
     source: Source<'a>,
     pub findings: Vec<Finding>,
@@ -126,15 +130,16 @@
         }
     }
 
-    fn note(&mut self, place: &str, name: &str, message: String) {
+    fn add_finding(&mut self, origin: &str, name: &str, message: String) {
         self.findings.push(Finding {
-            file: place.into(),
+            file: origin.into(),
             line: None,
             field: name.to_owned(),
             message,
         });
     }
 
+    /// Returns the unparsed value and its origin.
     fn raw(&self, name: &str) -> Option<(&'static str, String)> {
         if let Some(text) = (self.source.flag)(name) {
             return Some(("flags", text));
@@ -143,7 +148,7 @@
         (self.source.variable)(&variable).map(|text| ("environment", text))
     }
 
-    /// A setting with a default; `what` says what it must be.
+    /// Reads an optional setting. `what` describes valid values for the finding.
     pub fn optional<T>(
         &mut self,
         name: &str,
@@ -151,16 +156,16 @@
         what: &str,
         parse: impl Fn(&str) -> Option<T>,
     ) -> T {
-        let Some((place, text)) = self.raw(name) else {
+        let Some((origin, text)) = self.raw(name) else {
             return default;
         };
         parse(&text).unwrap_or_else(|| {
-            self.note(place, name, format!("must be {what}, not {text:?}"));
+            self.add_finding(origin, name, format!("must be {what}, not {text:?}"));
             default
         })
     }
 
-    /// A setting that must be given.
+    /// Reads a required setting. `fallback` is only a placeholder if there is a finding.
     pub fn required<T>(
         &mut self,
         name: &str,
@@ -169,7 +174,7 @@
         parse: impl Fn(&str) -> Option<T>,
     ) -> T {
         if self.raw(name).is_none() {
-            self.note("flags", name, format!("is missing; it must be {what}"));
+            self.add_finding("flags", name, format!("is missing; it must be {what}"));
             return fallback;
         }
         self.optional(name, fallback, what, parse)
@@ -196,34 +201,44 @@
     }
 }
 
-fn name(text: &str) -> Option<Arc<str>> {
-    let fits = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    (!text.is_empty() && text.chars().all(fits)).then(|| text.into())
+fn parse_name(text: &str) -> Option<Arc<str>> {
+    let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    (!text.is_empty() && text.chars().all(allowed)).then(|| text.into())
 }
 
-fn address(text: &str) -> Option<Arc<str>> {
+fn parse_address(text: &str) -> Option<Arc<str>> {
     let parsed: Result<std::net::SocketAddr, _> = text.parse();
     parsed.ok().map(|_| text.into())
 }
 
 impl Run {
-    /// Reads and checks all settings.
+    /// Reads and validates all settings.
     pub fn from_source(source: Source<'_>) -> Result<Self, Vec<Finding>> {
         let defaults = Run::default();
         let mut reader = Reader::new(source);
         let run = Run {
-            name: reader.required("name", defaults.name, "letters, digits, - and _", name),
-            domain: reader.required("domain", defaults.domain, "letters, digits, - and _", name),
+            name: reader.required(
+                "name",
+                defaults.name,
+                "letters, digits, - and _",
+                parse_name,
+            ),
+            domain: reader.required(
+                "domain",
+                defaults.domain,
+                "letters, digits, - and _",
+                parse_name,
+            ),
             ip: reader.optional("ip", defaults.ip, "an IP number", |t| t.parse().ok()),
             port: reader.number("port", defaults.port),
             api_port: reader.number("api-port", defaults.api_port),
             metrics_port: defaults.metrics_port,
-            platform: reader.required("platform", defaults.platform, "IP:port", address),
+            platform: reader.required("platform", defaults.platform, "IP:port", parse_address),
             peers: reader.optional(
                 "peer",
                 defaults.peers,
                 "IP:port, or several with commas",
-                |t| t.split(',').map(address).collect(),
+                |t| t.split(',').map(parse_address).collect(),
             ),
             admin_hash: reader.optional(
                 "admin",
--- a/src/configs/standin.rs
+++ b/src/configs/standin.rs
@@ -1,4 +1,4 @@
-//! Settings of the stand-ins: flags and environment, checked together.
+//! Settings of the stand-ins, read from flags and environment variables.
 
 use super::run::{Reader, Source};
 use crate::declarations::finding::Finding;
--- a/src/declarations.rs
+++ b/src/declarations.rs
@@ -1,4 +1,4 @@
-//! What operators declare, checked, with every finding in its place.
+//! Resources that operators declare: parsing, validation and the snapshot that boxes use.
 
 pub mod check;
 pub mod entry;
--- a/src/declarations/check.rs
+++ b/src/declarations/check.rs
@@ -1,4 +1,5 @@
-//! Checks entries one by one and against each other; reports all findings together.
+//! Validates declared entries, each by itself and against the others, and reports all findings
+//! together.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,27 +23,29 @@
 const DEFAULT_MAX_AGE_MS: u64 = 1_000;
 const DEFAULT_TARGET_MS: u64 = 500;
 const DEFAULT_PRIORITY: u64 = 1;
-/// Above it, priorities weigh the same anyway.
-const MOST_PRIORITY: u64 = 1_000;
-/// Operations a second that a limit may allow: more than all boxes serve together.
-const MOST_RATE: u64 = 100_000_000;
+/// Lowest priority that can be declared; 0 is the highest.
+const MAX_PRIORITY: u64 = 1_000;
+/// Highest rate limit that can be declared, in operations per second.
+const MAX_RATE: u64 = 100_000_000;
+/// Hexadecimal digits of a SHA-256.
 const HASH_DIGITS: usize = 64;
-const MOST_NAME: usize = 63;
-const MOST_HOST: usize = 253;
+const MAX_NAME_LENGTH: usize = 63;
+const MAX_HOST_LENGTH: usize = 253;
 
-/// Whether a text may name a resource.
+/// Whether the text is a valid resource name.
 pub fn is_name(text: &str) -> bool {
-    let fits = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '_';
-    (1..=MOST_NAME).contains(&text.len()) && text.chars().all(fits)
+    let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '_';
+    (1..=MAX_NAME_LENGTH).contains(&text.len()) && text.chars().all(allowed)
 }
 
 fn is_hash(text: &str) -> bool {
     text.len() == HASH_DIGITS && text.chars().all(|c| c.is_ascii_hexdigit())
 }
 
-/// Reads the fields of one entry and notes what is wrong with them.
+/// Reads the fields of one entry and collects findings about them.
 struct Reader<'a> {
     entry: &'a Entry,
+    /// Fields that were read; all others of the entry are reported as unknown.
     known: Vec<&'static str>,
     findings: Vec<Finding>,
 }
@@ -61,7 +64,7 @@
         self.entry.fields.get(field).map(|field| &field.value)
     }
 
-    fn note(&mut self, field: &str, message: impl Into<String>) {
+    fn add_finding(&mut self, field: &str, message: impl Into<String>) {
         self.findings.push(self.entry.finding(field, message));
     }
 
@@ -69,11 +72,11 @@
         match self.value(field) {
             Some(Value::String(text)) => text.as_str().into(),
             Some(_) => {
-                self.note(field, "must be a text");
+                self.add_finding(field, "must be a text");
                 "".into()
             }
             None => {
-                self.note(field, "is missing");
+                self.add_finding(field, "is missing");
                 "".into()
             }
         }
@@ -87,26 +90,26 @@
             .get(field)
             .is_some_and(|f| f.value.is_string());
         if present && !is_name(&text) {
-            self.note(field, "must be 1 to 63 of a-z, 0-9, - and _");
+            self.add_finding(field, "must be 1 to 63 of a-z, 0-9, - and _");
         }
         text
     }
 
-    /// A name as callers use it, which may be a host's.
+    /// Reads a name that may be a host name, as callers use it; an empty one is accepted.
     fn host(&mut self, field: &'static str) -> Arc<str> {
         let text = self.text(field);
-        let fits = |c: char| c.is_ascii_graphic();
-        if !text.is_empty() && (text.len() > MOST_HOST || !text.chars().all(fits)) {
-            self.note(field, "must be 1 to 253 signs without blanks");
+        let allowed = |c: char| c.is_ascii_graphic();
+        if !text.is_empty() && (text.len() > MAX_HOST_LENGTH || !text.chars().all(allowed)) {
+            self.add_finding(field, "must be 1 to 253 signs without blanks");
         }
         text
     }
 
-    /// A name that is told to members as one word.
-    fn word(&mut self, field: &'static str) -> Arc<str> {
+    /// Reads a name that is sent to members, where it must not be empty.
+    fn non_empty_host(&mut self, field: &'static str) -> Arc<str> {
         let text = self.host(field);
         if text.is_empty() && self.entry.fields.contains_key(field) {
-            self.note(field, "must be 1 to 253 signs without blanks");
+            self.add_finding(field, "must be 1 to 253 signs without blanks");
         }
         text
     }
@@ -119,7 +122,7 @@
             .get(field)
             .is_some_and(|f| f.value.is_string());
         if present && !is_hash(&text) {
-            self.note(field, "must be a SHA-256 in 64 hexadecimal digits");
+            self.add_finding(field, "must be a SHA-256 in 64 hexadecimal digits");
         }
         text
     }
@@ -127,31 +130,28 @@
     fn hashes(&mut self, field: &'static str) -> Vec<Arc<str>> {
         let hashes = self.names(field);
         if !hashes.iter().all(|hash| is_hash(hash)) {
-            self.note(field, "must be a list of SHA-256 in 64 hexadecimal digits");
+            self.add_finding(field, "must be a list of SHA-256 in 64 hexadecimal digits");
         }
         hashes
     }
 
-    fn number(&mut self, field: &'static str, default: u64, least: u64, most: u64) -> u64 {
+    fn number(&mut self, field: &'static str, default: u64, min: u64, max: u64) -> u64 {
         let Some(value) = self.value(field) else {
             return default;
         };
         match value.as_u64() {
-            Some(number) if (least..=most).contains(&number) => number,
+            Some(number) if (min..=max).contains(&number) => number,
             _ => {
-                self.note(
-                    field,
-                    format!("must be a whole number from {least} to {most}"),
-                );
+                self.add_finding(field, format!("must be a whole number from {min} to {max}"));
                 default
             }
         }
     }
 
-    fn optional_number(&mut self, field: &'static str, least: u64, most: u64) -> Option<u64> {
+    fn optional_number(&mut self, field: &'static str, min: u64, max: u64) -> Option<u64> {
         let present = self.entry.fields.get(field);
         match present.is_some_and(|field| !field.value.is_null()) {
-            true => Some(self.number(field, least, least, most)),
+            true => Some(self.number(field, min, min, max)),
             false => self.value(field).and(None),
         }
     }
@@ -161,7 +161,7 @@
             None => false,
             Some(Value::Bool(flag)) => *flag,
             Some(_) => {
-                self.note(field, "must be true or false");
+                self.add_finding(field, "must be true or false");
                 false
             }
         }
@@ -170,7 +170,7 @@
     fn address(&mut self, field: &'static str) -> Arc<str> {
         let text = self.text(field);
         if !text.is_empty() && text.parse::<SocketAddr>().is_err() {
-            self.note(field, "must be IP:port");
+            self.add_finding(field, "must be IP:port");
         }
         text
     }
@@ -184,11 +184,12 @@
             .map(|items| items.iter().map(|item| item.as_str().map(Arc::from)));
         let names: Option<Vec<Arc<str>>> = texts.and_then(Iterator::collect);
         names.unwrap_or_else(|| {
-            self.note(field, "must be a list of texts");
+            self.add_finding(field, "must be a list of texts");
             Vec::new()
         })
     }
 
+    /// Returns all findings, with one for each field that was not read.
     fn finish(mut self) -> Vec<Finding> {
         for field in self.entry.fields.keys() {
             if !self.known.contains(&field.as_str()) {
@@ -203,7 +204,7 @@
     }
 }
 
-/// Checks one entry by itself.
+/// Validates one entry by itself.
 pub fn one(entry: &Entry) -> Result<Spec, Vec<Finding>> {
     let Some(kind) = Kind::from_name(&entry.kind) else {
         let known: Vec<_> = Kind::ALL.iter().map(|kind| kind.name()).collect();
@@ -250,7 +251,7 @@
         Some(Some("members")) => Durability::Members,
         Some(Some("primary")) => Durability::Primary,
         Some(_) => {
-            reader.note(
+            reader.add_finding(
                 "durability",
                 "must be \"majority\", \"members\" or \"primary\"",
             );
@@ -290,7 +291,7 @@
         None | Some(Some("all")) => OwnWrites::All,
         Some(Some("tables")) => OwnWrites::Tables,
         Some(_) => {
-            reader.note("own_writes", "must be \"all\" or \"tables\"");
+            reader.add_finding("own_writes", "must be \"all\" or \"tables\"");
             OwnWrites::All
         }
     };
@@ -319,7 +320,7 @@
         Some(Some("own_writes")) => Access::OwnWrites,
         Some(Some("bounded")) => Access::Bounded,
         Some(_) => {
-            reader.note(
+            reader.add_finding(
                 "access",
                 "must be \"primary\", \"own_writes\" or \"bounded\"",
             );
@@ -334,44 +335,44 @@
         max_age_ms: reader.number("max_age_ms", DEFAULT_MAX_AGE_MS, 0, 86_400_000),
         timeout_ms: reader.number("timeout_ms", DEFAULT_DEADLINE_MS, 1, 600_000),
         target_ms: reader.number("target_ms", DEFAULT_TARGET_MS, 1, 600_000),
-        priority: reader.number("priority", DEFAULT_PRIORITY, 0, MOST_PRIORITY),
+        priority: reader.number("priority", DEFAULT_PRIORITY, 0, MAX_PRIORITY),
         keyed: reader.flag("keyed"),
     })
 }
 
 fn workspace(reader: &mut Reader) -> Spec {
-    let rate = reader.optional_number("rate_per_s", 0, MOST_RATE);
+    let rate = reader.optional_number("rate_per_s", 0, MAX_RATE);
     Spec::Workspace(Workspace {
         partner: reader.name("partner"),
-        name: reader.word("name"),
+        name: reader.non_empty_host("name"),
         keys: reader.hashes("keys"),
-        priority: reader.number("priority", DEFAULT_PRIORITY, 0, MOST_PRIORITY),
+        priority: reader.number("priority", DEFAULT_PRIORITY, 0, MAX_PRIORITY),
         rate_per_s: rate.map(|rate| rate as u32),
-        burst: reader.number("burst", 0, 0, MOST_RATE) as u32,
+        burst: reader.number("burst", 0, 0, MAX_RATE) as u32,
     })
 }
 
-/// Checks entries that are declared together.
+/// Validates entries that are declared together.
 pub fn all(entries: &[Entry]) -> Result<BTreeMap<Key, Spec>, Vec<Finding>> {
     let mut specs = BTreeMap::new();
-    let mut places: BTreeMap<Key, &Entry> = BTreeMap::new();
+    let mut declared: BTreeMap<Key, &Entry> = BTreeMap::new();
     let mut findings = Vec::new();
     for entry in entries {
         match one(entry) {
             Err(more) => findings.extend(more),
             Ok(spec) => {
                 let key = spec.key();
-                if let Some(first) = places.insert(key.clone(), entry) {
-                    let at = first.line.map_or(String::new(), |line| format!(":{line}"));
-                    let message = format!("{key} is declared already at {}{at}", first.file);
+                if let Some(first) = declared.insert(key.clone(), entry) {
+                    let line = first.line.map_or(String::new(), |line| format!(":{line}"));
+                    let message = format!("{key} is declared already at {}{line}", first.file);
                     findings.push(entry.finding("name", message));
                 }
                 specs.insert(key, spec);
             }
         }
     }
-    findings.extend(shared_keys(&specs, &places));
-    for (key, entry) in &places {
+    findings.extend(shared_keys(&specs, &declared));
+    for (key, entry) in &declared {
         if let Some((field, missing)) = missing_reference(&specs[key], &specs) {
             findings.push(entry.finding(field, format!("{missing} is not declared")));
         }
@@ -382,8 +383,8 @@
     Err(findings)
 }
 
-/// Keys that two workspaces claim: nobody could tell who calls.
-fn shared_keys(specs: &BTreeMap<Key, Spec>, places: &BTreeMap<Key, &Entry>) -> Vec<Finding> {
+/// Finds keys that several workspaces declare: a key must identify one workspace.
+fn shared_keys(specs: &BTreeMap<Key, Spec>, declared: &BTreeMap<Key, &Entry>) -> Vec<Finding> {
     let mut holders: BTreeMap<String, &Key> = BTreeMap::new();
     let mut findings = Vec::new();
     for (key, spec) in specs {
@@ -394,28 +395,28 @@
             let holder = *holders.entry(hash.to_ascii_lowercase()).or_insert(key);
             if holder != key {
                 let message = format!("a key is also one of {holder}");
-                findings.push(places[key].finding("keys", message));
+                findings.push(declared[key].finding("keys", message));
             }
         }
     }
     findings
 }
 
-/// The resource that `spec` names and that is not there.
+/// Returns the field of `spec` that refers to an undeclared resource, and that resource's key.
 pub fn missing_reference(spec: &Spec, specs: &BTreeMap<Key, Spec>) -> Option<(&'static str, Key)> {
     let own = spec.key();
-    let needed = |kind, name: &Arc<str>| Key {
+    let referenced = |kind, name: &Arc<str>| Key {
         kind,
         partner: own.partner.clone(),
         name: name.clone(),
     };
     let (field, key) = match spec {
         Spec::Partner(_) => return None,
-        Spec::Group(_) | Spec::Workspace(_) => ("partner", needed(Kind::Partner, &"".into())),
-        Spec::Member(member) => ("group", needed(Kind::Group, &member.group)),
-        Spec::Read(read) => ("group", needed(Kind::Group, &read.group)),
-        Spec::Once(once) => ("group", needed(Kind::Group, &once.group)),
-        Spec::Database(database) => ("group", needed(Kind::Group, &database.group)),
+        Spec::Group(_) | Spec::Workspace(_) => ("partner", referenced(Kind::Partner, &"".into())),
+        Spec::Member(member) => ("group", referenced(Kind::Group, &member.group)),
+        Spec::Read(read) => ("group", referenced(Kind::Group, &read.group)),
+        Spec::Once(once) => ("group", referenced(Kind::Group, &once.group)),
+        Spec::Database(database) => ("group", referenced(Kind::Group, &database.group)),
     };
     (!specs.contains_key(&key)).then_some((field, key))
 }
--- a/src/declarations/entry.rs
+++ b/src/declarations/entry.rs
@@ -1,4 +1,4 @@
-//! Declarations as written: tables of fields that remember their lines.
+//! Unvalidated declarations: tables of fields with their line numbers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 
 use super::finding::Finding;
 
-/// A field's value and where it stands.
+/// A field's value and its line in the file.
 #[derive(Clone, Debug)]
 pub struct Field {
     pub value: Value,
     pub line: Option<usize>,
 }
 
-/// One declared resource before it is checked.
+/// One declared resource before validation.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub kind: String,
@@ -26,6 +26,7 @@
 }
 
 impl Entry {
+    /// Returns a finding at the line of the field, or of the entry if the field is missing.
     pub fn finding(&self, field: &str, message: impl Into<String>) -> Finding {
         let line = self.fields.get(field).map_or(self.line, |f| f.line);
         Finding {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// An entry from a request body, which has no lines.
+    /// Creates an entry from a request body, which has no line numbers.
     pub fn from_json(kind: &str, place: &str, body: &Value) -> Result<Self, Finding> {
         let Value::Object(object) = body else {
             return Err(Finding {
@@ -59,7 +60,7 @@
     }
 }
 
-/// Reads a file of `[[kind]]` tables.
+/// Parses a TOML file of `[[kind]]` tables.
 pub fn parse(file: &str, text: &str) -> (Vec<Entry>, Vec<Finding>) {
     let file: Arc<str> = file.into();
     let document = match DeTable::parse(text) {
@@ -90,7 +91,7 @@
             continue;
         };
         for table in tables.iter() {
-            match entry(&file, &kind, table, text) {
+            match table_entry(&file, &kind, table, text) {
                 Ok(entry) => entries.push(entry),
                 Err(finding) => findings.push(finding),
             }
@@ -100,7 +101,7 @@
     (entries, findings)
 }
 
-fn entry(
+fn table_entry(
     file: &Arc<str>,
     kind: &str,
     table: &Spanned<DeValue<'_>>,
@@ -117,7 +118,7 @@
     };
     let field = |(name, value): (&Spanned<std::borrow::Cow<'_, str>>, &Spanned<DeValue<'_>>)| {
         let line = Some(line_of(text, name.span().start));
-        let value = json(value.get_ref());
+        let value = to_json(value.get_ref());
         (name.get_ref().to_string(), Field { value, line })
     };
     Ok(Entry {
@@ -128,7 +129,7 @@
     })
 }
 
-fn json(value: &DeValue<'_>) -> Value {
+fn to_json(value: &DeValue<'_>) -> Value {
     match value {
         DeValue::String(text) => Value::from(text.as_ref()),
         DeValue::Integer(number) => {
@@ -141,11 +142,11 @@
             .map_or(Value::Null, Value::from),
         DeValue::Boolean(flag) => Value::from(*flag),
         DeValue::Datetime(time) => Value::from(time.to_string()),
-        DeValue::Array(items) => items.iter().map(|item| json(item.get_ref())).collect(),
+        DeValue::Array(items) => items.iter().map(|item| to_json(item.get_ref())).collect(),
         DeValue::Table(table) => {
             let pair =
                 |(name, value): (&Spanned<std::borrow::Cow<'_, str>>, &Spanned<DeValue<'_>>)| {
-                    (name.get_ref().to_string(), json(value.get_ref()))
+                    (name.get_ref().to_string(), to_json(value.get_ref()))
                 };
             Value::Object(table.iter().map(pair).collect())
         }
--- a/src/declarations/resource.rs
+++ b/src/declarations/resource.rs
@@ -1,11 +1,11 @@
-//! The declared resources: partner, workspace, group, member, read kind, once rule, database.
+//! Validated resources: partner, workspace, group, member, read, once rule and database.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Kinds of resource, by their names in files and paths.
+/// Kinds of resource, named as in files and API paths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -46,12 +46,12 @@
     }
 }
 
-/// A resource's name: its kind, its partner, and its name within the partner.
+/// A resource's identity: its kind, its partner and its name within the partner.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     pub kind: Kind,
     pub partner: Arc<str>,
-    /// `GROUP` or `GROUP.NAME`; empty for the partner itself.
+    /// `NAME`, or `GROUP.NAME` for a resource inside a group; empty for the partner itself.
     pub name: Arc<str>,
 }
 
@@ -79,27 +79,28 @@
     }
 }
 
-/// A partner: who shares this system with others.
+/// An organisation that shares the system with others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Partner {
     pub name: Arc<str>,
-    /// Share of a box under contention, against the other partners' weights.
+    /// Share of a box's capacity under contention, relative to the other partners' weights.
     pub weight: u32,
     /// SHA-256 of the operators' bearer token, in hexadecimal.
     pub operator: Arc<str>,
-    /// SHA-256 of the callers' password, in hexadecimal; none takes any caller.
+    /// SHA-256 of the callers' password, in hexadecimal; `None` admits every caller.
     pub caller: Option<Arc<str>>,
 }
 
-/// What a group promises of an acknowledged write.
+/// Where an acknowledged write of a group is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Durability {
-    /// A majority of the members holds it.
+    /// On a majority of the members.
     Majority,
-    /// The members see to it: the primary answers a write when a replica holds it.
+    /// On the primary and a replica: the primary acknowledges a write only after a replica has
+    /// stored it.
     Members,
-    /// Only the primary is known to hold it: a replacement may lose it.
+    /// On the primary only: replacing the primary may lose it.
     Primary,
 }
 
@@ -109,18 +110,18 @@
     pub partner: Arc<str>,
     pub name: Arc<str>,
     pub durability: Durability,
-    /// Statements a member runs at once.
+    /// Statements that a member runs concurrently.
     pub slots: u32,
-    /// Connections a member takes from all boxes together.
+    /// Connections that a member accepts from all boxes together.
     pub connections: u32,
-    /// Boxes that hold connections to the members; 0: as many as these allow.
+    /// Boxes that hold connections to the members; 0 means as many as `connections` allows.
     pub owners: u32,
-    /// Milliseconds after which a statement that did not start is refused.
+    /// Milliseconds after which a statement that has not started is refused.
     pub deadline_ms: u64,
-    /// Staleness that a read of no declared kind tolerates, in milliseconds.
+    /// Maximum staleness of reads that match no declared kind, in milliseconds.
     pub max_age_ms: u64,
-    /// Milliseconds without a statement after which an open transaction is ended;
-    /// the box's setting where none are declared.
+    /// Milliseconds without a statement after which an open transaction is rolled back; `None`
+    /// uses the box's setting.
     #[serde(default)]
     pub idle_ms: Option<u64>,
 }
@@ -144,112 +145,113 @@
     pub address: Address,
     /// Failure domain.
     pub domain: Arc<str>,
-    /// Takes no new work.
+    /// Whether the member is about to stop and takes no new work.
     pub leaving: bool,
-    /// Unix milliseconds of its start, where it tells: a later start under the same name is
-    /// another member, which holds nothing of what the earlier one promised.
+    /// Time when the member started, in Unix milliseconds, if it reports one. A member with the
+    /// same name and a later start has lost the promises that its predecessor made, such as fences.
     #[serde(default)]
     pub born: Option<u64>,
 }
 
 impl Member {
-    /// Whether `later` is this member after another start. An older start is late news.
+    /// Whether `later` is this member after a restart. An earlier start is outdated information
+    /// and is no restart.
     pub fn restarted_as(&self, later: &Member) -> bool {
-        matches!((self.born, later.born), (Some(born), Some(again)) if again > born)
+        matches!((self.born, later.born), (Some(before), Some(after)) if after > before)
     }
 
-    /// Whether both are names of one place to connect to.
+    /// Whether both have the same name and address.
     pub fn same_endpoint(&self, other: &Member) -> bool {
         self.name == other.name && self.address == other.address
     }
 }
 
-/// Which of a session's writes a kind of read must show.
+/// Which of a session's own writes a read must show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OwnWrites {
     All,
-    /// Those to the kind's tables. The operator vouches that no trigger, view or
-    /// cascade makes other writes show in them.
+    /// Only writes to the read's tables. Correct only if no trigger, view or cascade makes writes
+    /// to other tables visible in them.
     Tables,
 }
 
-/// A kind of read and the staleness it tolerates.
+/// A kind of read and the staleness that it tolerates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Read {
     pub partner: Arc<str>,
     pub group: Arc<str>,
     pub name: Arc<str>,
-    /// 0 tolerates none: served by a primary that is seen not to be replaced.
+    /// Maximum staleness in milliseconds. With 0, the read is served by the primary, after a check
+    /// that it has not been replaced.
     pub max_age_ms: u64,
-    /// Reads of only these tables are of this kind, without a hint.
+    /// Reads that use only these tables are of this kind, even without a hint.
     pub tables: Vec<Arc<str>>,
     pub own_writes: OwnWrites,
 }
 
-/// Requests that must never be repeated.
+/// Writes that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Once {
     pub partner: Arc<str>,
     pub group: Arc<str>,
     pub name: Arc<str>,
-    /// Writes to this table must carry a key.
+    /// Table whose writes must carry a key.
     pub table: Arc<str>,
 }
 
-/// What reads on a database must see.
+/// Which writes the reads of a database must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Access {
-    /// Everything that was acknowledged before.
+    /// Every write that was acknowledged before the read.
     Primary,
-    /// The session's own writes, and nothing older than the bound.
+    /// The session's own writes, and all others up to the maximum staleness.
     OwnWrites,
-    /// Nothing older than the bound.
+    /// All writes up to the maximum staleness.
     Bounded,
 }
 
-/// A name under which callers reach a group, and how it serves them.
+/// A name under which callers reach a group, with the rules for serving them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Database {
     pub partner: Arc<str>,
-    /// As callers name it.
+    /// Name that callers use.
     pub name: Arc<str>,
     pub group: Arc<str>,
     pub access: Access,
-    /// Staleness that reads tolerate, in milliseconds; without meaning for
-    /// [`Access::Primary`].
+    /// Maximum staleness of reads, in milliseconds; ignored with [`Access::Primary`].
     pub max_age_ms: u64,
-    /// Milliseconds that one statement may take, its wait included.
+    /// Milliseconds that a statement may take, including the time in the queue.
     pub timeout_ms: u64,
-    /// Milliseconds within which callers want their answer.
+    /// Target for the answer time, in milliseconds.
     pub target_ms: u64,
-    /// 0 goes first under overload.
+    /// Priority under overload; 0 is served first.
     pub priority: u64,
-    /// Only callers with a workspace's key are served.
+    /// Whether only callers with a workspace's key are served.
     #[serde(default)]
     pub keyed: bool,
 }
 
-/// Callers that share keys and a limit: one customer of a partner's databases.
+/// A customer of a partner: callers that share API keys and a rate limit.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
     pub partner: Arc<str>,
-    /// As members are told it.
+    /// Name that is sent to members.
     pub name: Arc<str>,
-    /// SHA-256 of each key with which its callers come, in hexadecimal.
+    /// SHA-256 of each of its API keys, in hexadecimal.
     pub keys: Vec<Arc<str>>,
-    /// 0 goes first under overload.
+    /// Priority under overload; 0 is served first.
     pub priority: u64,
-    /// Operations a second over all boxes; unlimited where none are declared.
+    /// Operations per second over all boxes; `None` means unlimited.
     #[serde(default)]
     pub rate_per_s: Option<u32>,
-    /// Operations above the rate that may come at once.
+    /// Operations that may exceed the rate in a burst.
     #[serde(default)]
     pub burst: u32,
 }
 
-/// Digests of keys stay out of logs: a short key could be guessed from one.
+/// Omits the hashes of keys: a short key could be guessed from its hash in a log.
 impl fmt::Debug for Workspace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Workspace")
@@ -263,7 +265,7 @@
     }
 }
 
-/// A checked resource.
+/// A validated resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Spec {
@@ -281,9 +283,9 @@
         let (kind, partner, name) = match self {
             Spec::Partner(partner) => (Kind::Partner, &partner.name, "".into()),
             Spec::Group(group) => (Kind::Group, &group.partner, group.name.clone()),
-            Spec::Member(m) => (Kind::Member, &m.partner, inner(&m.group, &m.name)),
-            Spec::Read(r) => (Kind::Read, &r.partner, inner(&r.group, &r.name)),
-            Spec::Once(o) => (Kind::Once, &o.partner, inner(&o.group, &o.name)),
+            Spec::Member(m) => (Kind::Member, &m.partner, name_in_group(&m.group, &m.name)),
+            Spec::Read(r) => (Kind::Read, &r.partner, name_in_group(&r.group, &r.name)),
+            Spec::Once(o) => (Kind::Once, &o.partner, name_in_group(&o.group, &o.name)),
             Spec::Database(d) => (Kind::Database, &d.partner, d.name.clone()),
             Spec::Workspace(w) => (Kind::Workspace, &w.partner, w.name.clone()),
         };
@@ -295,6 +297,6 @@
     }
 }
 
-fn inner(group: &str, name: &str) -> Arc<str> {
+fn name_in_group(group: &str, name: &str) -> Arc<str> {
     format!("{group}.{name}").into()
 }
--- a/src/declarations/snapshot.rs
+++ b/src/declarations/snapshot.rs
@@ -1,4 +1,4 @@
-//! All declarations at one revision, as the boxes use them.
+//! All declarations at one revision, indexed for use by a box.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,14 +12,14 @@
 
 use super::resource::{Database, Group, Key, Kind, Member, Once, Partner, Read, Spec, Workspace};
 
-/// A resource with the revision that wrote it.
+/// A resource with the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
     pub revision: Revision,
     pub spec: Spec,
 }
 
-/// A group with all that is declared for it.
+/// A group with everything that is declared for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// `PARTNER/GROUP`.
@@ -28,34 +28,34 @@
     pub members: Vec<Member>,
     pub reads: Vec<Read>,
     pub onces: Vec<Once>,
-    /// Callers of one of its databases come with workspaces' keys, so that each of its
-    /// connections serves one workspace.
+    /// Whether callers of any of its databases need a workspace's key. Each connection to its
+    /// members then serves a single workspace.
     pub keyed: bool,
-    /// Since when members leave or are listed no more, by name, as far as this box was told.
+    /// Members that are leaving or no longer listed, by name, as far as this box knows.
     pub departures: BTreeMap<Arc<str>, Departure>,
 }
 
 impl Plan {
-    fn leave(&mut self, name: &str) {
-        let known = self.members.iter_mut();
-        for member in known.filter(|member| *member.name == *name) {
+    fn mark_leaving(&mut self, name: &str) {
+        let members = self.members.iter_mut();
+        for member in members.filter(|member| *member.name == *name) {
             member.leaving = true;
         }
     }
 }
 
-/// Who leads a group, as last recorded.
+/// A group's primary, as last recorded in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Primary {
     pub term: u64,
     /// The member's name.
     pub member: Arc<str>,
-    /// Revision of the row, which a newer record must name.
+    /// Revision of the row. An update must give it as the expected revision.
     #[serde(skip)]
     pub revision: Revision,
 }
 
-/// Every resource at one revision. Never changed, only replaced by a newer one.
+/// Every resource at one revision. A snapshot is immutable; a newer one replaces it.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     pub revision: Revision,
@@ -67,7 +67,7 @@
     pub databases: BTreeMap<Arc<str>, Arc<Database>>,
     /// By `PARTNER/WORKSPACE`.
     pub workspaces: BTreeMap<Arc<str>, Arc<Workspace>>,
-    /// Who comes with a key, by the key's digest.
+    /// By the SHA-256 of a key, in lower-case hexadecimal.
     pub workspaces_by_key: BTreeMap<Arc<str>, Arc<Workspace>>,
     /// By `PARTNER/GROUP`.
     pub primaries: BTreeMap<Arc<str>, Primary>,
@@ -84,7 +84,7 @@
     ) -> Self {
         let mut partners = BTreeMap::new();
         let mut databases = BTreeMap::new();
-        let mut keys = BTreeMap::new();
+        let mut workspaces_by_key = BTreeMap::new();
         let mut workspaces = BTreeMap::new();
         let mut groups: BTreeMap<Arc<str>, Plan> = BTreeMap::new();
         for stored in resources.values() {
@@ -110,10 +110,11 @@
                 Spec::Workspace(workspace) => {
                     let shared = Arc::new(workspace.clone());
                     for key in &workspace.keys {
-                        // Of two workspaces with one key the first has it: checks refuse
-                        // such declarations, but not every writer runs them.
-                        let first = keys.entry(key.to_ascii_lowercase().into());
-                        first.or_insert_with(|| shared.clone());
+                        // If two workspaces declare the same key, the first one gets it.
+                        // Validation refuses such declarations, but rows may also be written
+                        // without it.
+                        let entry = workspaces_by_key.entry(key.to_ascii_lowercase().into());
+                        entry.or_insert_with(|| shared.clone());
                     }
                     let id = group_id(&workspace.partner, &workspace.name);
                     workspaces.insert(id, shared);
@@ -122,7 +123,7 @@
             }
         }
         for stored in resources.values() {
-            attach(&stored.spec, &mut groups);
+            add_to_group(&stored.spec, &mut groups);
         }
         let shared = |(id, plan): (Arc<str>, Plan)| (id, Arc::new(plan));
         Self {
@@ -130,7 +131,7 @@
             resources,
             partners,
             databases,
-            workspaces_by_key: keys,
+            workspaces_by_key,
             workspaces,
             duties,
             groups: groups.into_iter().map(shared).collect(),
@@ -138,8 +139,7 @@
         }
     }
 
-    /// The workspace that calls a database with a key of this digest; none where the
-    /// database asks for no key.
+    /// Returns the workspace whose key has the hash `key`, or `None` if the database needs no key.
     pub fn workspace_for_key(
         &self,
         database: &Database,
@@ -149,11 +149,11 @@
             return Ok(None);
         }
         let known = self.workspaces_by_key.get(key);
-        let own = known.filter(|workspace| workspace.partner == database.partner);
-        own.cloned().map(Some).ok_or(UnknownKey)
+        let matching = known.filter(|workspace| workspace.partner == database.partner);
+        matching.cloned().map(Some).ok_or(UnknownKey)
     }
 
-    /// A member, if it is declared.
+    /// Returns a declared member.
     pub fn member(&self, key: &Key) -> Option<&Member> {
         match &self.resources.get(key)?.spec {
             Spec::Member(member) => Some(member),
@@ -161,8 +161,8 @@
         }
     }
 
-    /// The same with the times since when members leave. One that said so leaves, also where an
-    /// older copy of the table lists it as before.
+    /// Adds the known departures. A member that has announced its departure counts as leaving even
+    /// if the table, which may be an older copy, does not list it as such.
     pub fn with_departures<'a>(
         mut self,
         departures: impl Iterator<Item = (&'a Member, Departure)>,
@@ -173,43 +173,50 @@
                 let plan = Arc::make_mut(plan);
                 plan.departures.insert(member.name.clone(), departure);
                 if member.leaving {
-                    plan.leave(&member.name);
+                    plan.mark_leaving(&member.name);
                 }
             }
         }
         self
     }
 
-    /// Members that leave or are gone here, and neither in an earlier snapshot.
+    /// Returns the members that have started to leave since the snapshot `before`, and those that
+    /// are no longer listed.
     pub fn departed_since<'a>(
         &'a self,
         before: &'a Snapshot,
     ) -> impl Iterator<Item = (Key, DepartureReason)> + 'a {
-        let left = self.resources.iter().filter(|(_, stored)| leaves(stored));
+        let leaving = self
+            .resources
+            .iter()
+            .filter(|(_, stored)| is_leaving(stored));
         let known = |key: &Key, stored: &Stored| {
-            let earlier = before.resources.get(key).filter(|earlier| leaves(earlier));
-            earlier.is_some_and(|earlier| !started_again(earlier, stored))
+            let earlier = before
+                .resources
+                .get(key)
+                .filter(|earlier| is_leaving(earlier));
+            earlier.is_some_and(|earlier| !restarted_as(earlier, stored))
         };
-        let left = left.filter(move |(key, stored)| !known(key, stored));
-        let left = left.map(|(key, _)| (key.clone(), DepartureReason::Leaving));
+        let leaving = leaving.filter(move |(key, stored)| !known(key, stored));
+        let leaving = leaving.map(|(key, _)| (key.clone(), DepartureReason::Leaving));
         let known = before.resources.keys();
         let gone =
             known.filter(|key| key.kind == Kind::Member && !self.resources.contains_key(key));
-        left.chain(gone.map(|key| (key.clone(), DepartureReason::Unlisted)))
+        leaving.chain(gone.map(|key| (key.clone(), DepartureReason::Unlisted)))
     }
 }
 
-/// A caller whose key no workspace holds.
+/// The caller's key belongs to no workspace of the database's partner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no workspace has this key")]
 pub struct UnknownKey;
 
-/// How a member departs.
+/// Why a member counts as departing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DepartureReason {
-    /// It says so itself.
+    /// The member announced that it is leaving.
     Leaving,
-    /// The list names it no more.
+    /// The member is no longer listed.
     Unlisted,
 }
 
@@ -222,18 +229,19 @@
     }
 }
 
-fn leaves(stored: &Stored) -> bool {
+fn is_leaving(stored: &Stored) -> bool {
     matches!(&stored.spec, Spec::Member(member) if member.leaving)
 }
 
-fn started_again(earlier: &Stored, later: &Stored) -> bool {
+fn restarted_as(earlier: &Stored, later: &Stored) -> bool {
     match (&earlier.spec, &later.spec) {
         (Spec::Member(earlier), Spec::Member(later)) => earlier.restarted_as(later),
         _ => false,
     }
 }
 
-fn attach(spec: &Spec, groups: &mut BTreeMap<Arc<str>, Plan>) {
+/// Adds the resource to the group that it belongs to.
+fn add_to_group(spec: &Spec, groups: &mut BTreeMap<Arc<str>, Plan>) {
     match spec {
         Spec::Partner(_) | Spec::Group(_) | Spec::Workspace(_) => {}
         Spec::Database(database) => {
@@ -259,7 +267,7 @@
     }
 }
 
-/// `PARTNER/NAME`, the name of a group or a workspace across partners.
+/// Returns `PARTNER/NAME`, which identifies a group or a workspace across partners.
 pub fn group_id(partner: &str, name: &str) -> Arc<str> {
     format!("{partner}/{name}").into()
 }
--- a/src/events.rs
+++ b/src/events.rs
@@ -1,11 +1,11 @@
-//! Numbered log events. `docs/EVENTS.md` is their catalogue; a test compares both.
+//! Numbered log events, documented in `docs/EVENTS.md`. A test compares the code with the document.
 
 use std::fmt::Display;
 use std::io::{self, Write};
 
 use slog::{Drain, KV, Level, Logger, Record, Serializer, o};
 
-/// A kind of event. Numbers are never used again for something else.
+/// A kind of log event. Its number is stable and is never reused for another event.
 #[derive(Debug)]
 pub struct Event {
     pub number: u32,
@@ -16,56 +16,56 @@
 macro_rules! events {
     ($($name:ident = $number:literal, $level:ident, $text:literal;)*) => {
         $(pub const $name: Event = Event { number: $number, level: Level::$level, text: $text };)*
-        /// Every kind, in order of number.
+        /// Every event, in order of number.
         pub const ALL: &[&Event] = &[$(&$name),*];
     };
 }
 
 events! {
     STARTED = 100, Info, "box started";
-    READY = 101, Info, "taking callers";
-    DRAINING = 102, Info, "leaving: no new callers, requests in flight finish";
+    READY = 101, Info, "accepting callers";
+    DRAINING = 102, Info, "draining: new callers are refused, requests in flight finish";
     STOPPED = 103, Info, "stopped";
-    SETTINGS_RELOADED = 104, Info, "settings read again";
-    INVALID_SETTINGS = 105, Warning, "settings can't be taken; those in force hold";
+    SETTINGS_RELOADED = 104, Info, "settings reloaded";
+    INVALID_SETTINGS = 105, Warning, "new settings are invalid; the current ones stay in force";
     CONFIG_APPLIED = 200, Info, "configuration in force";
-    TABLE_DOWN = 201, Warning, "platform table gives no answer";
-    TABLE_RECOVERED = 202, Info, "platform table answers again";
+    TABLE_DOWN = 201, Warning, "platform table does not respond";
+    TABLE_RECOVERED = 202, Info, "platform table responds again";
     ROSTER_CHANGED = 203, Info, "list of boxes changed";
-    INVALID_ROW = 204, Error, "a row of the table is no valid resource and is left out";
-    STORE_TABLE_DOWN = 205, Warning, "a table of the store gives no answer";
-    STORE_TABLE_RECOVERED = 206, Info, "a table of the store answers";
-    LISTING_FAILED = 207, Warning, "the list of boxes could not be changed";
-    PARTITIONED = 208, Warning, "cut off: a majority of no group is reached";
-    PARTITION_HEALED = 209, Info, "a majority of some group is reached again";
-    POLLING_CHANGED = 210, Info, "the table is read in another way: not at all, for this box, or for others";
-    MEMBER_DEPARTED = 211, Info, "a member leaves or is listed no more";
-    TABLE_ROLLED_BACK = 212, Warning, "the table came back as an older copy of itself";
-    STALE_DECLARATIONS = 213, Warning, "the table's declarations are older than those in force, which hold";
-    RELISTED = 214, Warning, "the list of boxes has lost this one, which lists itself again";
-    PARTITION_ALERT = 215, Info, "a box of this failure domain finds the others silent";
+    INVALID_ROW = 204, Error, "table row is not a valid resource and is ignored";
+    STORE_TABLE_DOWN = 205, Warning, "table of the store does not respond";
+    STORE_TABLE_RECOVERED = 206, Info, "table of the store responds";
+    LISTING_FAILED = 207, Warning, "list of boxes could not be changed";
+    PARTITIONED = 208, Warning, "partitioned: no group's majority is reachable";
+    PARTITION_HEALED = 209, Info, "the majority of at least one group is reachable again";
+    POLLING_CHANGED = 210, Info, "table polling mode changed";
+    MEMBER_DEPARTED = 211, Info, "member is leaving or no longer listed";
+    TABLE_ROLLED_BACK = 212, Warning, "table was replaced by an older copy of itself";
+    STALE_DECLARATIONS = 213, Warning, "table's declarations are older than those in force, which are kept";
+    RELISTED = 214, Warning, "this box is missing from the list of boxes and lists itself again";
+    PARTITION_ALERT = 215, Info, "a box of this failure domain reports a partition";
     MEMBER_SUSPECTED = 300, Warning, "member suspected";
-    SUSPICION_CLEARED = 301, Info, "member trusted again";
-    REPLACEMENT_STARTED = 302, Warning, "replacing the primary: fencing";
-    BALLOT_LOST = 303, Warning, "replacement did not get through, trying again if needed";
+    SUSPICION_CLEARED = 301, Info, "member no longer suspected";
+    REPLACEMENT_STARTED = 302, Warning, "replacing the primary: fencing started";
+    BALLOT_LOST = 303, Warning, "replacement of the primary failed; retried if still needed";
     PRIMARY_PROMOTED = 304, Warning, "new primary promoted";
-    PRIMARY_ADOPTED = 305, Info, "primary of a newer term known";
-    INVALID_REPORT = 306, Error, "member's report can't be true and is not taken";
-    NO_CONNECTION = 307, Info, "no connection to a member; its statement is placed again";
-    ANSWER_OVERDUE = 308, Warning, "a member's answer is not coming; its connection is closed";
-    DUTY_TAKEN = 309, Info, "a promotion is ordered under this generation";
-    DUTY_WITHOUT_TABLE = 310, Warning, "the table gives no answer; the generation follows the last one known";
-    FENCE_RELEASED = 311, Info, "a fence that no primary followed is taken back";
-    DRAIN_STARTED = 312, Info, "a leaving primary's time is counted";
-    DRAIN_EXPIRED = 313, Warning, "a leaving primary gets nothing new";
-    MEMBER_RESTARTED = 314, Info, "a member started again under its name; nothing known of it holds";
-    FENCE_REFUSED = 315, Info, "a member took no fence";
+    PRIMARY_ADOPTED = 305, Info, "primary of a newer term adopted";
+    IMPLAUSIBLE_REPORT = 306, Error, "member's report is implausible and is ignored";
+    NO_CONNECTION = 307, Info, "no connection to a member; the statement is routed again";
+    ANSWER_LOST = 308, Warning, "no valid answer from a member; the connection is closed";
+    DUTY_TAKEN = 309, Info, "promotion ordered with this generation number";
+    DUTY_WITHOUT_TABLE = 310, Warning, "table does not respond; the generation number follows the last known one";
+    FENCE_RELEASED = 311, Info, "fence released: no primary was promoted under it";
+    DRAIN_STARTED = 312, Info, "drain period of a leaving primary started";
+    DRAIN_EXPIRED = 313, Warning, "leaving primary receives no new requests";
+    MEMBER_RESTARTED = 314, Info, "member restarted under its name; what was known about it is discarded";
+    FENCE_REFUSED = 315, Info, "member refused a fence";
     CALLER_REFUSED = 400, Info, "caller refused at start-up";
-    CALLER_PROTOCOL = 401, Info, "caller broke the protocol";
-    UNKNOWN_OUTCOME = 402, Warning, "a write's outcome is unknown";
-    TOKEN_IGNORED = 403, Info, "a caller's token is not believed";
-    REQUEST_ABANDONED = 404, Info, "a request is given up on";
-    LIMIT_REACHED = 405, Info, "a workspace's limit is used up";
+    CALLER_PROTOCOL = 401, Info, "caller violated the protocol";
+    UNKNOWN_OUTCOME = 402, Warning, "outcome of a write is unknown";
+    TOKEN_IGNORED = 403, Info, "caller's token ignored";
+    REQUEST_FAILED = 404, Info, "request failed";
+    LIMIT_REACHED = 405, Info, "workspace's rate limit reached";
     RESOURCE_CHANGED = 500, Info, "resource changed by an operator";
 }
 
@@ -80,20 +80,20 @@
     }
 }
 
-/// Writes one event.
-pub fn emit(log: &Logger, kind: &Event, fields: &[(&'static str, &dyn Display)]) {
+/// Logs one event with its fields.
+pub fn emit(log: &Logger, event: &Event, fields: &[(&'static str, &dyn Display)]) {
     let fields = Fields(fields);
-    let number = kind.number;
-    match kind.level {
+    let number = event.number;
+    match event.level {
         Level::Critical | Level::Error => {
-            slog::error!(log, "{}", kind.text; "event" => number, fields);
+            slog::error!(log, "{}", event.text; "event" => number, fields);
         }
-        Level::Warning => slog::warn!(log, "{}", kind.text; "event" => number, fields),
-        _ => slog::info!(log, "{}", kind.text; "event" => number, fields),
+        Level::Warning => slog::warn!(log, "{}", event.text; "event" => number, fields),
+        _ => slog::info!(log, "{}", event.text; "event" => number, fields),
     }
 }
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
     Terminal,
@@ -101,17 +101,17 @@
     None,
 }
 
-/// Lines that may wait for a slow reader; more are dropped and counted.
-const MOST_WAITING: usize = 2_048;
+/// Lines that are queued for a slow reader; further lines are dropped and counted.
+const MAX_QUEUED_LINES: usize = 2_048;
 
-/// Keeps a line together until it is whole: the serializer writes it in pieces, and a
-/// reader must never see two lines mixed.
-struct WholeLines<W: Write> {
+/// Buffers output until a line is complete. The serializer writes a line in several pieces, which
+/// must not be mixed with those of other lines.
+struct LineBuffer<W: Write> {
     line: Vec<u8>,
     out: W,
 }
 
-impl<W: Write> Write for WholeLines<W> {
+impl<W: Write> Write for LineBuffer<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(bytes);
         if bytes.last() == Some(&b'\n') {
@@ -126,9 +126,9 @@
     }
 }
 
-/// The process's logger. JSON goes to standard output through a bounded queue: what a
-/// slow reader does not take is dropped, and a line says how much. Text for a person
-/// goes to standard error.
+/// Creates the process's logger. JSON lines go to standard output through a bounded queue. If the
+/// reader is too slow, lines are dropped and their number is logged. Text in terminal format goes
+/// to standard error.
 pub fn logger(format: Format) -> Logger {
     match format {
         Format::None => Logger::root(slog::Discard, o!()),
@@ -138,13 +138,13 @@
             Logger::root(drain, o!())
         }
         Format::Json => {
-            let lines = WholeLines {
+            let lines = LineBuffer {
                 line: Vec::new(),
                 out: io::stdout(),
             };
             let drain = slog_json::Json::default(lines).fuse();
             let drain = slog_async::Async::new(drain)
-                .chan_size(MOST_WAITING)
+                .chan_size(MAX_QUEUED_LINES)
                 .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
                 .build()
                 .fuse();
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client that calls from one address and waits no longer than told.
+//! A small HTTP client with a fixed local address and a timeout for each call.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -11,22 +11,24 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-const IDLE: Duration = Duration::from_secs(20);
-/// Time for a new connection: a few ways there and back, and no lost packet.
+/// Time after which an unused connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time to open a connection: a few round trips, without a retransmission.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Rest after which the other end is probed, and time between two probes: whole seconds,
-/// as the kernel counts them.
-const KEEPALIVE: Duration = Duration::from_secs(1);
-/// Probes without an answer. With a third, a silent wait for changes and its retry would
-/// outlast the four seconds after which a box has to know every change.
-const KEEPALIVE_TRIES: u32 = 2;
-/// Time after which an open connection is given up whose other end says nothing more.
-pub const DEAD_CONNECTION_TIMEOUT: Duration = KEEPALIVE.saturating_mul(1 + KEEPALIVE_TRIES);
+/// Idle time before the first TCP keepalive probe, and the interval between probes. The kernel
+/// accepts whole seconds only.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered probes after which a connection is closed. With three, detecting a dead long poll
+/// and repeating it would exceed the four seconds within which a box must learn of a change.
+const KEEPALIVE_PROBES: u32 = 2;
+/// Time after which an open connection is closed whose other end no longer responds.
+pub const DEAD_CONNECTION_TIMEOUT: Duration =
+    KEEPALIVE_INTERVAL.saturating_mul(1 + KEEPALIVE_PROBES);
 
-/// Why a call has no body to show.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// Nothing was sent.
+    /// No connection was opened, so nothing was sent.
     #[error("no connection: {0}")]
     Unsent(String),
     #[error("connection refused or reset: {0}")]
@@ -37,7 +39,7 @@
     Status { code: u16, body: String },
 }
 
-/// An answer of any status.
+/// A response with any status.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -46,7 +48,7 @@
 }
 
 impl Answer {
-    /// The body, if the call was done.
+    /// Returns the body if the status is 200, or [`HttpError::Status`].
     pub fn into_success(self) -> Result<Bytes, HttpError> {
         if self.status == StatusCode::OK {
             return Ok(self.body);
@@ -58,13 +60,13 @@
     }
 }
 
-/// Pooled connections to any number of servers.
+/// An HTTP client that pools connections to any number of servers.
 #[derive(Clone)]
 pub struct Client {
     inner: Legacy<HttpConnector, Full<Bytes>>,
 }
 
-/// A call in parts.
+/// A request with its timeout.
 pub struct Call<'a> {
     pub method: Method,
     /// `IP:port`.
@@ -77,8 +79,8 @@
 }
 
 impl<'a> Call<'a> {
-    /// A question without a body.
-    pub fn get(address: &'a str, path: &'a str, wait: Duration) -> Self {
+    /// Creates a GET request.
+    pub fn get(address: &'a str, path: &'a str, timeout: Duration) -> Self {
         Self {
             method: Method::GET,
             address,
@@ -86,25 +88,25 @@
             bearer: None,
             headers: Vec::new(),
             body: Vec::new(),
-            timeout: wait,
+            timeout,
         }
     }
 }
 
 impl Client {
-    /// A client whose connections start at `from`.
+    /// Creates a client that connects from the address `from`.
     pub fn new(from: IpAddr) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // A cut says nothing: without probes a wait for an answer lasts its whole time.
-        connector.set_keepalive(Some(KEEPALIVE));
-        connector.set_keepalive_interval(Some(KEEPALIVE));
-        connector.set_keepalive_retries(Some(KEEPALIVE_TRIES));
+        // A partition closes no connections: without probes, each call would last until its timeout.
+        connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_retries(Some(KEEPALIVE_PROBES));
         connector.set_local_address(Some(from));
         let inner = Legacy::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .build(connector);
         Self { inner }
     }
@@ -114,7 +116,7 @@
         address: &str,
         path: &str,
         body: Vec<u8>,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<Bytes, HttpError> {
         let call = Call {
             method: Method::POST,
@@ -123,21 +125,26 @@
             bearer: None,
             headers: Vec::new(),
             body,
-            timeout: wait,
+            timeout,
         };
         self.call(call).await
     }
 
-    pub async fn get(&self, address: &str, path: &str, wait: Duration) -> Result<Bytes, HttpError> {
-        self.call(Call::get(address, path, wait)).await
+    pub async fn get(
+        &self,
+        address: &str,
+        path: &str,
+        timeout: Duration,
+    ) -> Result<Bytes, HttpError> {
+        self.call(Call::get(address, path, timeout)).await
     }
 
-    /// The body of an answer that says that the call was done.
+    /// Sends a request and returns the body of a successful response.
     pub async fn call(&self, call: Call<'_>) -> Result<Bytes, HttpError> {
         self.send(call).await?.into_success()
     }
 
-    /// The whole answer, also to a call that was refused.
+    /// Sends a request and returns the response, whatever its status.
     pub async fn send(&self, call: Call<'_>) -> Result<Answer, HttpError> {
         let mut request = Request::builder()
             .method(call.method)
@@ -157,15 +164,15 @@
     }
 
     async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Answer, HttpError> {
-        let broken = |error: &dyn std::fmt::Display| HttpError::Failed(error.to_string());
+        let failed = |error: &dyn std::fmt::Display| HttpError::Failed(error.to_string());
         let response = self.inner.request(request).await;
         let response = response.map_err(|error| match error.is_connect() {
             true => HttpError::Unsent(error.to_string()),
-            false => broken(&error),
+            false => failed(&error),
         })?;
         let (head, body) = response.into_parts();
         let body = body.collect().await;
-        let body = body.map_err(|error| broken(&error))?.to_bytes();
+        let body = body.map_err(|error| failed(&error))?.to_bytes();
         Ok(Answer {
             status: head.status,
             headers: head.headers,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,8 @@
-//! Larkfall: a database proxy with session consistency, run by declarations.
+//! Larkfall: a database proxy with session consistency, configured by declarations.
 //!
-//! Callers' messages pass from filter to filter: entry, classification,
-//! admission, routing, pool, member. The decisions among them do no I/O and
-//! live in [`decisions`]; sockets, time, the platform and the members stand
-//! behind the traits in [`borders`].
+//! A caller's request passes through entry, classification, admission, routing and the connection
+//! pool to a member. The logic that decides how it is served does no I/O and is in [`decisions`].
+//! Sockets, time, the platform and the members are accessed through the traits in [`borders`].
 
 pub mod borders;
 pub mod cli;
--- a/src/main.rs
+++ b/src/main.rs
@@ -24,7 +24,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime can be built");
+        .expect("the runtime can be built");
     match LocalSet::new().block_on(&runtime, dispatch(flags)) {
         Ok(exit) => ExitCode::from(exit as u8),
         Err(error) => {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by `opentelemetry`, read over HTTP in Prometheus' text format.
+//! Metrics of a box, recorded with `opentelemetry` and exported in Prometheus' text format.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -12,12 +12,12 @@
 
 use crate::decisions::floors::Scope;
 
-/// Workspaces that are counted by name; the others are counted together.
-const MOST_WORKSPACES: usize = 200;
-/// What those are counted as.
+/// Workspaces that get a label of their own; all others share [`OTHERS`].
+const MAX_NAMED_WORKSPACES: usize = 200;
+/// Label of the workspaces beyond [`MAX_NAMED_WORKSPACES`].
 const OTHERS: &str = "others";
 
-/// The counters of a box.
+/// The counters and histograms of a box.
 pub struct Metrics {
     registry: Registry,
     _provider: SdkMeterProvider,
@@ -30,24 +30,26 @@
     pub forwarded: Counter<u64>,
     pub replacements: Counter<u64>,
     pub probes: Counter<u64>,
-    /// Boxes of the failure domain that were warned of a cut.
+    /// Alerts of a partition that were sent to boxes of the same failure domain.
     pub cut_warnings: Counter<u64>,
     /// Calls to the platform's store, by table and cause.
     store_calls: Counter<u64>,
     settings_reads: Counter<u64>,
-    /// Times that the platform's table was seen to have come back as an older copy.
+    /// Times that the platform's table was replaced by an older copy.
     pub older_copies: Counter<u64>,
-    /// Operations that began, by workspace and whether its limit let them through.
+    /// Operations by workspace and by whether its limit admitted them.
     operations: Counter<u64>,
-    /// Callers and operations refused since no workspace has their key.
+    /// Callers and operations that were refused because their key belongs to no workspace.
     pub strangers: Counter<u64>,
-    workspaces: RefCell<BTreeSet<Arc<str>>>,
-    /// Time from a statement's arrival to its answer, by declared kind and outcome.
+    /// Workspaces that have a label of their own.
+    named_workspaces: RefCell<BTreeSet<Arc<str>>>,
+    /// Time from a statement's arrival to its answer, by declared kind of read and outcome.
     pub answer_ms: Histogram<f64>,
-    /// Time that statements waited for a place at a member.
+    /// Time that statements waited for a slot of a member.
     pub queue_ms: Histogram<f64>,
-    /// Time that members took.
+    /// Time that members took to answer.
     pub member_ms: Histogram<f64>,
+    /// Time that it took to confirm a write or a read before answering it.
     pub confirmation_ms: Histogram<f64>,
 }
 
@@ -57,7 +59,7 @@
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .expect("a fresh registry takes an exporter");
+            .expect("a new registry accepts an exporter");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("larkfall");
         let counter = |name: &'static str| meter.u64_counter(name).build();
@@ -77,7 +79,7 @@
             older_copies: counter("larkfall_older_copies"),
             operations: counter("larkfall_operations"),
             strangers: counter("larkfall_strangers"),
-            workspaces: RefCell::default(),
+            named_workspaces: RefCell::default(),
             answer_ms: meter.f64_histogram("larkfall_answer_ms").build(),
             queue_ms: meter.f64_histogram("larkfall_queue_ms").build(),
             member_ms: meter.f64_histogram("larkfall_member_ms").build(),
@@ -89,7 +91,7 @@
 }
 
 impl Metrics {
-    /// A statement was answered after `took`.
+    /// Records that a statement was answered after `took`.
     pub fn record_answer(&self, outcome: &'static str, scope: &Scope, took: Duration) {
         let kind = scope.read_kind.as_deref().unwrap_or("none").to_owned();
         let labels = [
@@ -99,42 +101,42 @@
         self.answer_ms.record(took.as_secs_f64() * 1_000.0, &labels);
     }
 
-    /// The platform's store was called: for all its rows (`start`), because an earlier call
-    /// failed (`retry`) or others told nothing fresh (`stale`), to wait for changes (`wait`),
-    /// or to write (`listing`, `record`).
+    /// Counts a call of the platform's store. Its cause is `start` (reading all rows), `retry` (an
+    /// earlier call failed), `stale` (other boxes reported nothing recent), `wait` (long poll for
+    /// changes), or `listing` or `record` (writes).
     pub fn count_store_call(&self, table: &'static str, cause: &'static str) {
         let labels = [KeyValue::new("table", table), KeyValue::new("cause", cause)];
         self.store_calls.add(1, &labels);
     }
 
-    /// An operation of a workspace began, and its limit let it through or not.
+    /// Counts an operation of a workspace, by how its limit treated it.
     pub fn count_operation(&self, workspace: &Arc<str>, outcome: &'static str) {
         let labels = [
-            KeyValue::new("workspace", self.counted_as(workspace)),
+            KeyValue::new("workspace", self.workspace_label(workspace)),
             KeyValue::new("outcome", outcome),
         ];
         self.operations.add(1, &labels);
     }
 
-    fn counted_as(&self, workspace: &Arc<str>) -> Arc<str> {
-        let mut workspaces = self.workspaces.borrow_mut();
+    fn workspace_label(&self, workspace: &Arc<str>) -> Arc<str> {
+        let mut workspaces = self.named_workspaces.borrow_mut();
         if workspaces.contains(workspace) {
             return workspace.clone();
         }
-        if workspaces.len() >= MOST_WORKSPACES {
+        if workspaces.len() >= MAX_NAMED_WORKSPACES {
             return OTHERS.into();
         }
         workspaces.insert(workspace.clone());
         workspace.clone()
     }
 
-    /// The settings file was read again, and `taken` or `refused`.
+    /// Counts a reload of the settings file, which was `taken` or `refused`.
     pub fn count_settings_read(&self, outcome: &'static str) {
         let labels = [KeyValue::new("outcome", outcome)];
         self.settings_reads.add(1, &labels);
     }
 
-    /// All metrics in Prometheus' text format.
+    /// Returns all metrics in Prometheus' text format.
     pub fn text(&self) -> String {
         render(&self.registry)
     }
@@ -144,7 +146,7 @@
     }
 }
 
-/// A registry's metrics in Prometheus' text format.
+/// Returns a registry's metrics in Prometheus' text format.
 pub fn render(registry: &Registry) -> String {
     let mut bytes = Vec::new();
     let _ = TextEncoder::new().encode(&registry.gather(), &mut bytes);
--- a/src/node/driver/acting.rs
+++ b/src/node/driver/acting.rs
@@ -253,7 +253,7 @@
             ),
             Note::ImplausibleReport { member } => events::emit(
                 log,
-                &events::INVALID_REPORT,
+                &events::IMPLAUSIBLE_REPORT,
                 &[("group", id), ("member", &name(*member))],
             ),
             Note::Restarted { member } => events::emit(
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -335,7 +335,7 @@
             ("after_ms", &after),
             ("error", error),
         ];
-        events::emit(&self.context.log, &events::ANSWER_OVERDUE, &fields);
+        events::emit(&self.context.log, &events::ANSWER_LOST, &fields);
     }
 
     async fn finish(
--- a/src/node/session.rs
+++ b/src/node/session.rs
@@ -175,7 +175,7 @@
             ("waited_ms", &took.as_millis()),
             ("retry_ms", &retry_after),
         ];
-        events::emit(&self.context.log, &events::REQUEST_ABANDONED, &fields);
+        events::emit(&self.context.log, &events::REQUEST_FAILED, &fields);
     }
 
     /// Has the exchange served by an owner: the one that holds our connection,
