--- a/src/configs/run.rs
+++ b/src/configs/run.rs
@@ -140,7 +140,7 @@
     }
 
     /// Returns the unparsed value and its origin.
-    fn raw(&self, name: &str) -> Option<(&'static str, String)> {
+    fn lookup(&self, name: &str) -> Option<(&'static str, String)> {
         if let Some(text) = (self.source.flag)(name) {
             return Some(("flags", text));
         }
@@ -156,7 +156,7 @@
         what: &str,
         parse: impl Fn(&str) -> Option<T>,
     ) -> T {
-        let Some((origin, text)) = self.raw(name) else {
+        let Some((origin, text)) = self.lookup(name) else {
             return default;
         };
         parse(&text).unwrap_or_else(|| {
@@ -173,7 +173,7 @@
         what: &str,
         parse: impl Fn(&str) -> Option<T>,
     ) -> T {
-        if self.raw(name).is_none() {
+        if self.lookup(name).is_none() {
             self.add_finding("flags", name, format!("is missing; it must be {what}"));
             return fallback;
         }
--- a/src/declarations/entry.rs
+++ b/src/declarations/entry.rs
@@ -38,10 +38,10 @@
     }
 
     /// Creates an entry from a request body, which has no line numbers.
-    pub fn from_json(kind: &str, place: &str, body: &Value) -> Result<Self, Finding> {
+    pub fn from_json(kind: &str, origin: &str, body: &Value) -> Result<Self, Finding> {
         let Value::Object(object) = body else {
             return Err(Finding {
-                file: place.into(),
+                file: origin.into(),
                 line: None,
                 field: kind.to_owned(),
                 message: "must be an object".to_owned(),
@@ -53,7 +53,7 @@
         };
         Ok(Self {
             kind: kind.to_owned(),
-            file: place.into(),
+            file: origin.into(),
             line: None,
             fields: object.iter().map(field).collect(),
         })
--- a/src/declarations/snapshot.rs
+++ b/src/declarations/snapshot.rs
@@ -199,9 +199,9 @@
         };
         let leaving = leaving.filter(move |(key, stored)| !known(key, stored));
         let leaving = leaving.map(|(key, _)| (key.clone(), DepartureReason::Leaving));
-        let known = before.resources.keys();
-        let gone =
-            known.filter(|key| key.kind == Kind::Member && !self.resources.contains_key(key));
+        let earlier_keys = before.resources.keys();
+        let gone = earlier_keys
+            .filter(|key| key.kind == Kind::Member && !self.resources.contains_key(key));
         leaving.chain(gone.map(|key| (key.clone(), DepartureReason::Unlisted)))
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -24,10 +24,14 @@
     pub reads_by_replica: Counter<u64>,
     pub reads_by_primary: Counter<u64>,
     pub writes: Counter<u64>,
+    /// Requests that were refused without having run.
     pub not_run: Counter<u64>,
+    /// Writes whose outcome is unknown.
     pub unknown: Counter<u64>,
     pub retries: Counter<u64>,
+    /// Exchanges that were forwarded to another box.
     pub forwarded: Counter<u64>,
+    /// Promotions that replaced a primary.
     pub replacements: Counter<u64>,
     pub probes: Counter<u64>,
     /// Alerts of a partition that were sent to boxes of the same failure domain.
