--- a/src/configs/run.rs
+++ b/src/configs/run.rs
@@ -1,4 +1,4 @@
-//! Settings of a box: flags and environment, checked together.
+//! Settings of a box, read from flags and environment variables.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -10,63 +10,65 @@
 /// Settings of `larkfall run`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Run {
-    /// The box's name, as the platform lists it.
+    /// The box's name in the platform's list.
     pub name: Arc<str>,
     /// Failure domain.
     pub domain: Arc<str>,
-    /// Address the box listens on and calls from.
+    /// Address on which the box listens and from which it connects.
     pub ip: IpAddr,
-    /// Callers' port.
+    /// Port for callers.
     pub port: u16,
-    /// Port of peers, the resource API, metrics and dump.
+    /// Port for peers, the resource API, metrics and the state dump.
     pub api_port: u16,
-    /// Port that shows the metrics apart from the rest, at the same for all boxes where
-    /// the API's port differs from day to day.
+    /// Separate port for the metrics. It can be the same on all boxes even if their API ports are
+    /// assigned dynamically.
     pub metrics_port: Option<u16>,
     /// `IP:port` of the platform.
     pub platform: Arc<str>,
-    /// `IP:port` of peers to ask when the platform is down at the start.
+    /// `IP:port` of peers to ask if the platform is down at startup.
     pub peers: Vec<Arc<str>>,
-    /// SHA-256 of the token that may declare partners, in hexadecimal.
-    pub admin: Option<Arc<str>>,
+    /// SHA-256 of the token that permits declaring partners, in hexadecimal.
+    pub admin_hash: Option<Arc<str>>,
     pub log: Format,
-    /// Time between two looks at the table's head.
-    pub poll: Duration,
-    /// Peers that news is pushed to.
+    /// Interval at which the table is polled for a new revision.
+    pub poll_interval: Duration,
+    /// Number of peers to which a box pushes changes.
     pub fanout: usize,
-    /// An open transaction without a statement for this long is rolled back.
-    pub lease_idle: Duration,
-    /// Time a new connection to a member may take.
-    pub connect_wait: Duration,
-    /// Callers at once.
-    pub callers: usize,
-    /// Time that requests in flight get at a stop.
-    pub drain: Duration,
-    /// Time after which a balancer sends no callers any more to a box that is not ready.
-    pub balancer_turn: Duration,
-    /// Time after which it is expected to send none.
-    pub balancer_notice: Duration,
-    /// Retries that each hundred answers earn.
+    /// Time without a statement after which an open transaction is rolled back.
+    pub transaction_idle_timeout: Duration,
+    /// Time to open a connection to a member.
+    pub connect_timeout: Duration,
+    /// Maximum number of concurrent callers.
+    pub max_callers: usize,
+    /// Time that requests in flight may take at shutdown.
+    pub drain_timeout: Duration,
+    /// Time after which the load balancer certainly sends no callers to a box that is not ready.
+    pub max_balancer_delay: Duration,
+    /// Mean time after which the load balancer sends no callers to a box that is not ready.
+    pub mean_balancer_delay: Duration,
+    /// Retries allowed per hundred successful answers.
     pub retry_percent: u64,
-    /// Retries that can be saved up.
-    pub retry_most: u64,
-    /// Promotions are ordered under a generation number that is kept in the table.
+    /// Unused retries that can accumulate.
+    pub max_saved_retries: u64,
+    /// Whether a box must hold the duty, whose generation number is kept in the table, to order a
+    /// promotion.
     pub duty: bool,
-    /// Where a failure domain has many boxes, a few of them read the table for all.
-    pub follow: bool,
-    /// Width of the box's link, in Mbit/s; 0 where that is not known.
+    /// Whether only a few boxes of a large failure domain read the table, on behalf of the others.
+    pub share_table_reads: bool,
+    /// Bandwidth of the box's network link in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
-    /// Time in which an accepted change has to be in force.
-    pub apply: Duration,
-    /// Operations that a workspace may do at once beyond its declared burst.
+    /// Time within which an accepted change must be in force.
+    pub apply_deadline: Duration,
+    /// Operations that are added to a workspace's declared burst.
     pub limit_slack: u32,
-    /// Part of a workspace's limit by which it may be passed.
+    /// Fraction by which a workspace's rate limit may be exceeded.
     pub limit_overage: f64,
-    /// Operations wait for their turn where a workspace's limit is used up.
-    pub limit_waits: bool,
-    /// The loss of a whole failure domain is to be borne: its boxes warn each other of it.
-    pub domain_loss: bool,
-    /// The whole system starts for the first time: no box is listed yet.
+    /// Whether operations beyond a workspace's limit are queued instead of refused.
+    pub queue_over_limit: bool,
+    /// Whether the system must tolerate the loss of a whole failure domain. The boxes of a domain
+    /// then alert each other when they detect a partition.
+    pub tolerate_domain_loss: bool,
+    /// Whether the whole system starts for the first time, with no box listed yet.
     pub first_start: bool,
 }
 
@@ -81,38 +83,40 @@
             metrics_port: None,
             platform: "".into(),
             peers: Vec::new(),
-            admin: None,
+            admin_hash: None,
             log: Format::Terminal,
-            poll: Duration::from_secs(2),
+            poll_interval: Duration::from_secs(2),
             fanout: 3,
-            lease_idle: Duration::from_secs(30),
-            connect_wait: Duration::from_secs(1),
-            callers: 10_000,
-            drain: Duration::from_secs(30),
-            balancer_turn: Duration::from_millis(2_300),
-            balancer_notice: Duration::from_millis(1_500),
+            transaction_idle_timeout: Duration::from_secs(30),
+            connect_timeout: Duration::from_secs(1),
+            max_callers: 10_000,
+            drain_timeout: Duration::from_secs(30),
+            max_balancer_delay: Duration::from_millis(2_300),
+            mean_balancer_delay: Duration::from_millis(1_500),
             retry_percent: 10,
-            retry_most: 20,
+            max_saved_retries: 20,
             duty: false,
-            follow: false,
+            share_table_reads: false,
             link_mbps: 0,
-            apply: Duration::from_secs(3),
+            apply_deadline: Duration::from_secs(3),
             limit_slack: 0,
             limit_overage: 0.0,
-            limit_waits: false,
-            domain_loss: false,
+            queue_over_limit: false,
+            tolerate_domain_loss: false,
             first_start: false,
         }
     }
 }
 
-/// A setting as written: flag first, then environment.
+/// Where settings are read from. A flag takes precedence over an environment variable.
 pub struct Source<'a> {
+    /// Returns the value of a flag.
     pub flag: &'a dyn Fn(&str) -> Option<String>,
+    /// Returns the value of an environment variable.
     pub variable: &'a dyn Fn(&str) -> Option<String>,
 }
 
-/// Reads settings one by one and collects what is wrong with them.
+/// Reads settings one by one and collects findings about them.
 pub struct Reader<'a> {
     source: Source<'a>,
     pub findings: Vec<Finding>,
@@ -126,16 +130,17 @@
         }
     }
 
-    fn note(&mut self, place: &str, name: &str, message: String) {
+    fn add_finding(&mut self, origin: &str, name: &str, message: String) {
         self.findings.push(Finding {
-            file: place.into(),
+            file: origin.into(),
             line: None,
             field: name.to_owned(),
             message,
         });
     }
 
-    fn raw(&self, name: &str) -> Option<(&'static str, String)> {
+    /// Returns the unparsed value and its origin.
+    fn lookup(&self, name: &str) -> Option<(&'static str, String)> {
         if let Some(text) = (self.source.flag)(name) {
             return Some(("flags", text));
         }
@@ -143,7 +148,7 @@
         (self.source.variable)(&variable).map(|text| ("environment", text))
     }
 
-    /// A setting with a default; `what` says what it must be.
+    /// Reads an optional setting. `what` describes valid values for the finding.
     pub fn optional<T>(
         &mut self,
         name: &str,
@@ -151,16 +156,16 @@
         what: &str,
         parse: impl Fn(&str) -> Option<T>,
     ) -> T {
-        let Some((place, text)) = self.raw(name) else {
+        let Some((origin, text)) = self.lookup(name) else {
             return default;
         };
         parse(&text).unwrap_or_else(|| {
-            self.note(place, name, format!("must be {what}, not {text:?}"));
+            self.add_finding(origin, name, format!("must be {what}, not {text:?}"));
             default
         })
     }
 
-    /// A setting that must be given.
+    /// Reads a required setting. `fallback` is only a placeholder if there is a finding.
     pub fn required<T>(
         &mut self,
         name: &str,
@@ -168,8 +173,8 @@
         what: &str,
         parse: impl Fn(&str) -> Option<T>,
     ) -> T {
-        if self.raw(name).is_none() {
-            self.note("flags", name, format!("is missing; it must be {what}"));
+        if self.lookup(name).is_none() {
+            self.add_finding("flags", name, format!("is missing; it must be {what}"));
             return fallback;
         }
         self.optional(name, fallback, what, parse)
@@ -187,7 +192,7 @@
     }
 }
 
-pub fn log_format(text: &str) -> Option<Format> {
+pub fn parse_log_format(text: &str) -> Option<Format> {
     match text {
         "terminal" => Some(Format::Terminal),
         "json" => Some(Format::Json),
@@ -196,63 +201,79 @@
     }
 }
 
-fn name(text: &str) -> Option<Arc<str>> {
-    let fits = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    (!text.is_empty() && text.chars().all(fits)).then(|| text.into())
+fn parse_name(text: &str) -> Option<Arc<str>> {
+    let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    (!text.is_empty() && text.chars().all(allowed)).then(|| text.into())
 }
 
-fn address(text: &str) -> Option<Arc<str>> {
+fn parse_address(text: &str) -> Option<Arc<str>> {
     let parsed: Result<std::net::SocketAddr, _> = text.parse();
     parsed.ok().map(|_| text.into())
 }
 
 impl Run {
-    /// Reads and checks all settings.
-    pub fn read(source: Source<'_>) -> Result<Self, Vec<Finding>> {
+    /// Reads and validates all settings.
+    pub fn from_source(source: Source<'_>) -> Result<Self, Vec<Finding>> {
         let defaults = Run::default();
         let mut reader = Reader::new(source);
         let run = Run {
-            name: reader.required("name", defaults.name, "letters, digits, - and _", name),
-            domain: reader.required("domain", defaults.domain, "letters, digits, - and _", name),
+            name: reader.required(
+                "name",
+                defaults.name,
+                "letters, digits, - and _",
+                parse_name,
+            ),
+            domain: reader.required(
+                "domain",
+                defaults.domain,
+                "letters, digits, - and _",
+                parse_name,
+            ),
             ip: reader.optional("ip", defaults.ip, "an IP number", |t| t.parse().ok()),
             port: reader.number("port", defaults.port),
             api_port: reader.number("api-port", defaults.api_port),
             metrics_port: defaults.metrics_port,
-            platform: reader.required("platform", defaults.platform, "IP:port", address),
+            platform: reader.required("platform", defaults.platform, "IP:port", parse_address),
             peers: reader.optional(
                 "peer",
                 defaults.peers,
                 "IP:port, or several with commas",
-                |t| t.split(',').map(address).collect(),
+                |t| t.split(',').map(parse_address).collect(),
             ),
-            admin: reader.optional(
+            admin_hash: reader.optional(
                 "admin",
-                defaults.admin,
+                defaults.admin_hash,
                 "a SHA-256 in 64 hexadecimal digits",
                 |t| {
                     let digits = t.len() == 64 && t.chars().all(|c| c.is_ascii_hexdigit());
                     digits.then(|| Some(t.into()))
                 },
             ),
-            log: reader.optional("log", defaults.log, "terminal, json or none", log_format),
-            poll: reader.milliseconds("poll-ms", defaults.poll),
+            log: reader.optional(
+                "log",
+                defaults.log,
+                "terminal, json or none",
+                parse_log_format,
+            ),
+            poll_interval: reader.milliseconds("poll-ms", defaults.poll_interval),
             fanout: reader.number("fanout", defaults.fanout),
-            lease_idle: reader.milliseconds("lease-idle-ms", defaults.lease_idle),
-            connect_wait: reader.milliseconds("connect-wait-ms", defaults.connect_wait),
-            callers: reader.number("callers", defaults.callers),
-            drain: reader.milliseconds("drain-ms", defaults.drain),
-            balancer_turn: defaults.balancer_turn,
-            balancer_notice: defaults.balancer_notice,
+            transaction_idle_timeout: reader
+                .milliseconds("lease-idle-ms", defaults.transaction_idle_timeout),
+            connect_timeout: reader.milliseconds("connect-wait-ms", defaults.connect_timeout),
+            max_callers: reader.number("callers", defaults.max_callers),
+            drain_timeout: reader.milliseconds("drain-ms", defaults.drain_timeout),
+            max_balancer_delay: defaults.max_balancer_delay,
+            mean_balancer_delay: defaults.mean_balancer_delay,
             retry_percent: defaults.retry_percent,
-            retry_most: defaults.retry_most,
+            max_saved_retries: defaults.max_saved_retries,
             duty: defaults.duty,
-            follow: defaults.follow,
+            share_table_reads: defaults.share_table_reads,
             link_mbps: defaults.link_mbps,
-            apply: defaults.apply,
+            apply_deadline: defaults.apply_deadline,
             limit_slack: defaults.limit_slack,
             limit_overage: defaults.limit_overage,
-            limit_waits: defaults.limit_waits,
-            domain_loss: defaults.domain_loss,
+            queue_over_limit: defaults.queue_over_limit,
+            tolerate_domain_loss: defaults.tolerate_domain_loss,
             first_start: defaults.first_start,
         };
         match reader.findings.is_empty() {
--- a/src/standin/control.rs
+++ b/src/standin/control.rs
@@ -130,8 +130,8 @@
             .client
             .post(&self.address.control, "/control", body, wait);
         let bytes = sent.await.map_err(|error| match error {
-            HttpError::Unsent(_) | HttpError::Broken(_) => MemberError::Broken,
-            HttpError::Late => MemberError::TimedOut,
+            HttpError::Unsent(_) | HttpError::Failed(_) => MemberError::Broken,
+            HttpError::TimedOut => MemberError::TimedOut,
             HttpError::Status { code, .. } => MemberError::InvalidAnswer(format!("status {code}")),
         })?;
         let reply = rmp_serde::from_slice(&bytes)
