--- a/src/postgres.rs
+++ b/src/postgres.rs
@@ -7,6 +7,6 @@
 pub mod failure;
 pub mod ledger;
 pub mod relay;
-pub mod report;
+pub mod response;
 pub mod session;
 pub mod steps;
--- a/src/postgres/channel.rs
+++ b/src/postgres/channel.rs
@@ -12,7 +12,7 @@
 
 const BUFFER_BYTES: usize = 8 * 1024;
 /// A caller's queued answer is written out beyond this many bytes.
-pub const FLUSH_BYTES: usize = 64 * 1024;
+pub const FLUSH_THRESHOLD_BYTES: usize = 64 * 1024;
 
 /// Anything that carries bytes both ways: a socket, with or without TLS.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {}
@@ -56,9 +56,9 @@
     }
 
     /// Reads a caller's opening, declining encryption.
-    pub async fn open(&mut self) -> Result<Opening, ChannelError> {
+    pub async fn read_opening(&mut self) -> Result<Opening, ChannelError> {
         loop {
-            match self.read_front().await? {
+            match self.read_frontend().await? {
                 PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::None) => {
                     self.context.awaiting_frontend_ssl = false;
                 }
@@ -80,13 +80,13 @@
     }
 
     /// Takes this end for the one that opened the connection.
-    pub fn opened(&mut self) {
+    pub fn mark_started(&mut self) {
         self.context.awaiting_frontend_ssl = false;
         self.context.awaiting_frontend_startup = false;
     }
 
     /// Next message of a caller.
-    pub async fn read_front(&mut self) -> Result<PgWireFrontendMessage, ChannelError> {
+    pub async fn read_frontend(&mut self) -> Result<PgWireFrontendMessage, ChannelError> {
         loop {
             if let Some(message) = PgWireFrontendMessage::decode(&mut self.input, &self.context)? {
                 return Ok(message);
@@ -96,7 +96,7 @@
     }
 
     /// Next message of a member.
-    pub async fn read_back(&mut self) -> Result<PgWireBackendMessage, ChannelError> {
+    pub async fn read_backend(&mut self) -> Result<PgWireBackendMessage, ChannelError> {
         loop {
             if let Some(message) = PgWireBackendMessage::decode(&mut self.input, &self.context)? {
                 return Ok(message);
@@ -118,11 +118,11 @@
         !self.input.is_empty()
     }
 
-    pub fn queue_back(&mut self, message: &PgWireBackendMessage) -> Result<(), ChannelError> {
+    pub fn queue_backend(&mut self, message: &PgWireBackendMessage) -> Result<(), ChannelError> {
         Ok(message.encode(&mut self.output)?)
     }
 
-    pub fn queue_front(&mut self, message: &PgWireFrontendMessage) -> Result<(), ChannelError> {
+    pub fn queue_frontend(&mut self, message: &PgWireFrontendMessage) -> Result<(), ChannelError> {
         Ok(message.encode(&mut self.output)?)
     }
 
@@ -130,7 +130,7 @@
         self.output.extend_from_slice(bytes);
     }
 
-    pub fn queued(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.output.len()
     }
 
--- a/src/postgres/connection.rs
+++ b/src/postgres/connection.rs
@@ -16,7 +16,7 @@
 
 use super::channel::{Channel, ChannelError};
 use super::steps::{Close, Expect, Step, Steps};
-use super::{ledger, relay, report};
+use super::{ledger, relay, response};
 use crate::borders::upstream::{
     Answer, ConnectError, Dialer, Keyed, Task, Upstream, UpstreamError,
 };
@@ -27,22 +27,22 @@
 const MOST_STATEMENTS: usize = 500;
 
 /// Opens connections from one address.
-pub struct Remote {
-    pub from: IpAddr,
+pub struct Connector {
+    pub source: IpAddr,
     /// Time a new connection may take.
-    pub wait: Duration,
+    pub timeout: Duration,
 }
 
 #[async_trait(?Send)]
-impl Dialer for Remote {
+impl Dialer for Connector {
     /// Members see one user for all workspaces: a pooled connection serves any of them.
     async fn connect(
         &self,
         member: &Member,
         _: Option<&str>,
     ) -> Result<Box<dyn Upstream>, ConnectError> {
-        let opened = Connection::open(self.from, &member.address.sql);
-        let opened = tokio::time::timeout(self.wait, opened).await;
+        let opened = Connection::open(self.source, &member.address.sql);
+        let opened = tokio::time::timeout(self.timeout, opened).await;
         Ok(Box::new(opened.map_err(|_| ConnectError::Late)??))
     }
 }
@@ -65,10 +65,12 @@
             position: None,
         };
         loop {
-            let message = connection.channel.read_back().await;
+            let message = connection.channel.read_backend().await;
             match message.map_err(|error| lost(&error))? {
                 Back::ReadyForQuery(_) => return Ok(connection),
-                Back::ParameterStatus(parameter) if parameter.name == report::POSITION => {
+                Back::ParameterStatus(parameter)
+                    if parameter.name == response::POSITION_PARAMETER =>
+                {
                     connection.position = parameter.value.parse().ok();
                 }
                 Back::Authentication(Authentication::Ok)
@@ -76,7 +78,7 @@
                 | Back::BackendKeyData(_)
                 | Back::NoticeResponse(_) => {}
                 Back::ErrorResponse(error) => {
-                    return Err(ConnectError::Full(report::code_of(&error).to_owned()));
+                    return Err(ConnectError::Full(response::sqlstate(&error).to_owned()));
                 }
                 other => return Err(lost(&format!("unexpected message {other:?}"))),
             }
@@ -103,12 +105,12 @@
     let stream = socket.connect(address).await?;
     stream.set_nodelay(true)?;
     let mut channel = Channel::new(Box::new(stream));
-    channel.opened();
+    channel.mark_started();
     let user = [("user".to_owned(), "larkfall".to_owned())];
     let mut startup = Startup::new();
     startup.protocol_number_minor = 0;
     startup.parameters = user.into_iter().collect();
-    channel.queue_front(&Front::Startup(startup))?;
+    channel.queue_frontend(&Front::Startup(startup))?;
     channel.flush().await?;
     Ok(channel)
 }
--- a/src/postgres/entry.rs
+++ b/src/postgres/entry.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 
 use super::channel::{Channel, ChannelError, Opening};
-use super::report::{self, Report};
+use super::response::{self, SqlError};
 use super::session::Session;
 use crate::decisions::position::Position;
 use crate::declarations::resource::Partner;
@@ -29,29 +29,29 @@
 type Key = (i32, i32);
 
 /// Takes callers that speak PostgreSQL.
-pub struct Front;
+pub struct Acceptor;
 
 #[async_trait(?Send)]
-impl Border for Front {
+impl Border for Acceptor {
     async fn serve(
         &self,
         context: Rc<Context>,
         owner: Rc<Owner>,
         listener: TcpListener,
     ) -> std::io::Result<()> {
-        Entry::new(context, owner).accept_all(listener).await
+        Server::new(context, owner).accept_all(listener).await
     }
 }
 
 /// The callers of a box.
-struct Entry {
+struct Server {
     context: Rc<Context>,
     owner: Rc<Owner>,
     /// Sessions that can be cancelled, by the key they were given.
     sessions: RefCell<HashMap<Key, Rc<Notify>>>,
 }
 
-impl Entry {
+impl Server {
     fn new(context: Rc<Context>, owner: Rc<Owner>) -> Rc<Self> {
         Rc::new(Self {
             context,
@@ -89,7 +89,7 @@
             Ok(Some(startup)) => startup,
             Ok(None) => return Ok(()),
             Err(error @ ChannelError::Malformed(_)) => {
-                let report = Report::fatal("08P01", error.to_string());
+                let report = SqlError::fatal("08P01", error.to_string());
                 return refuse(&mut channel, &report).await.and(Err(error));
             }
             Err(error) => return Err(error),
@@ -97,7 +97,7 @@
         let accepted = match self.accept(&mut channel, &startup).await? {
             Ok(accepted) => accepted,
             Err(report) => {
-                let why = &report.message;
+                let why = &report.to_message;
                 events::emit(&self.context.log, &events::CALLER_REFUSED, &[("why", why)]);
                 return refuse(&mut channel, &report).await;
             }
@@ -106,7 +106,7 @@
     }
 
     async fn open(&self, channel: &mut Channel) -> Result<Option<Startup>, ChannelError> {
-        match channel.open().await? {
+        match channel.read_opening().await? {
             Opening::Startup(startup) => Ok(Some(startup)),
             Opening::Cancel { pid, secret } => {
                 if let Some(cancel) = self.sessions.borrow().get(&(pid, secret)) {
@@ -122,9 +122,9 @@
         &self,
         channel: &mut Channel,
         startup: &Startup,
-    ) -> Result<Result<Accepted, Report>, ChannelError> {
+    ) -> Result<Result<Accepted, SqlError>, ChannelError> {
         if self.context.callers.get() > self.context.live.borrow().callers {
-            let report = Report::fatal("53300", "this box takes no more callers; try another");
+            let report = SqlError::fatal("53300", "this box takes no more callers; try another");
             return Ok(Err(report));
         }
         let user = startup.parameters.get("user").cloned().unwrap_or_default();
@@ -133,16 +133,16 @@
         let snapshot = self.context.snapshot.borrow().clone();
         let Some(partner) = snapshot.partners.get(user.as_str()) else {
             let message = format!("user {user:?} is no declared partner");
-            return Ok(Err(Report::fatal("28000", message)));
+            return Ok(Err(SqlError::fatal("28000", message)));
         };
         if !self.password_fits(channel, partner).await? {
             let message = format!("password authentication failed for user {user:?}");
-            return Ok(Err(Report::fatal("28P01", message)));
+            return Ok(Err(SqlError::fatal("28P01", message)));
         }
         let group = group_id(&user, &database);
         if !snapshot.groups.contains_key(&group) {
             let message = format!("database {database:?} is no declared group of {user:?}");
-            return Ok(Err(Report::fatal("3D000", message)));
+            return Ok(Err(SqlError::fatal("3D000", message)));
         }
         let floor = self.floor(startup);
         Ok(Ok(Accepted { group, floor }))
@@ -157,9 +157,9 @@
             return Ok(true);
         };
         let ask = Back::Authentication(Authentication::CleartextPassword);
-        channel.queue_back(&ask)?;
+        channel.queue_backend(&ask)?;
         channel.flush().await?;
-        match channel.read_front().await? {
+        match channel.read_frontend().await? {
             PgWireFrontendMessage::PasswordMessageFamily(message) => {
                 let password = message.into_password()?;
                 Ok(secret::fits(&password.password, hash))
@@ -170,8 +170,13 @@
 
     /// The session's floor from the token it hands in.
     fn floor(&self, startup: &Startup) -> Option<Position> {
-        let direct = startup.parameters.get(report::TOKEN).cloned();
-        let token = direct.or_else(|| option(startup.parameters.get("options")?, report::TOKEN))?;
+        let direct = startup.parameters.get(response::TOKEN_PARAMETER).cloned();
+        let token = direct.or_else(|| {
+            option(
+                startup.parameters.get("options")?,
+                response::TOKEN_PARAMETER,
+            )
+        })?;
         match token.parse() {
             Ok(position) => Some(position),
             Err(error) => {
@@ -188,16 +193,16 @@
         accepted: Accepted,
     ) -> Result<(), ChannelError> {
         let key: Key = (rand::rng().random_range(1..i32::MAX), rand::rng().random());
-        channel.queue_back(&Back::Authentication(Authentication::Ok))?;
-        for (name, value) in [("server_version", report::SERVER_VERSION)]
+        channel.queue_backend(&Back::Authentication(Authentication::Ok))?;
+        for (name, value) in [("server_version", response::SERVER_VERSION)]
             .into_iter()
-            .chain(report::SESSION)
+            .chain(response::SESSION_PARAMETERS)
         {
-            channel.queue_back(&report::parameter(name, value))?;
+            channel.queue_backend(&response::parameter_status(name, value))?;
         }
         let data = BackendKeyData::new(key.0, SecretKey::I32(key.1));
-        channel.queue_back(&Back::BackendKeyData(data))?;
-        channel.queue_back(&report::ready(TransactionStatus::Idle))?;
+        channel.queue_backend(&Back::BackendKeyData(data))?;
+        channel.queue_backend(&response::ready_for_query(TransactionStatus::Idle))?;
         channel.flush().await?;
         let cancel = Rc::new(Notify::new());
         self.sessions.borrow_mut().insert(key, cancel.clone());
@@ -220,8 +225,8 @@
     floor: Option<Position>,
 }
 
-async fn refuse(channel: &mut Channel, report: &Report) -> Result<(), ChannelError> {
-    channel.queue_back(&report.message())?;
+async fn refuse(channel: &mut Channel, report: &SqlError) -> Result<(), ChannelError> {
+    channel.queue_backend(&report.to_message())?;
     channel.flush().await
 }
 
--- a/src/postgres/failure.rs
+++ b/src/postgres/failure.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::report::Report;
+use super::response::SqlError;
 use crate::decisions::group::{Reason, Refusal};
 use crate::node::exchange::Failure;
 
@@ -25,28 +25,28 @@
 const OWNER_RETRY: Duration = Duration::from_secs(1);
 
 /// The error that tells a caller of a failure.
-pub fn report(failure: &Failure) -> Report {
+pub fn to_error(failure: &Failure) -> SqlError {
     match failure {
         Failure::NotRun(refusal) => not_run(refusal),
         Failure::NotOwner => not_run(&Refusal::new(Reason::CutOff, OWNER_RETRY)),
-        Failure::Unknown => Report::error(
+        Failure::Unknown => SqlError::error(
             state::UNKNOWN,
             "the outcome is unknown: the statement may have run or not",
         )
-        .hint("look whether it took effect before it is sent again"),
-        Failure::TransactionLost => Report::error(
+        .with_hint("look whether it took effect before it is sent again"),
+        Failure::TransactionLost => SqlError::error(
             state::TRANSACTION_LOST,
             "the transaction was lost with its connection and is rolled back",
         ),
-        Failure::ReadLost => Report::error(
+        Failure::ReadLost => SqlError::error(
             state::READ_LOST,
             "the read was lost with its connection; it may be sent again",
         ),
-        Failure::Unsupported { message } => Report::error(state::UNSUPPORTED, message.clone()),
+        Failure::Unsupported { message } => SqlError::error(state::UNSUPPORTED, message.clone()),
     }
 }
 
-fn not_run(refusal: &Refusal) -> Report {
+fn not_run(refusal: &Refusal) -> SqlError {
     let why = match refusal.reason {
         Reason::Overload => "the expected wait passes its deadline",
         Reason::Retries => "it did not get through",
@@ -57,5 +57,6 @@
         Reason::Stale => "no member that can be reached is fresh enough for this session",
     };
     let after = refusal.retry_after.as_millis().max(1);
-    Report::error(state::NOT_RUN, format!("not run: {why}")).hint(format!("retry after {after} ms"))
+    SqlError::error(state::NOT_RUN, format!("not run: {why}"))
+        .with_hint(format!("retry after {after} ms"))
 }
--- a/src/postgres/relay.rs
+++ b/src/postgres/relay.rs
@@ -10,7 +10,7 @@
 
 use super::channel::ChannelError;
 use super::connection::Connection;
-use super::report;
+use super::response;
 use super::steps::{Close, Expect, Statement, Step};
 use crate::borders::upstream::{self, Status, Unrun, Verdict};
 use crate::decisions::position::Position;
@@ -98,10 +98,12 @@
     }
     match close {
         Close::Query => {}
-        Close::Sync => connection.channel.queue_front(&Front::Sync(Sync::new()))?,
+        Close::Sync => connection
+            .channel
+            .queue_frontend(&Front::Sync(Sync::new()))?,
         Close::Flush => connection
             .channel
-            .queue_front(&Front::Flush(Flush::new()))?,
+            .queue_frontend(&Front::Flush(Flush::new()))?,
     }
     connection.channel.flush().await?;
     Ok(pending)
@@ -118,7 +120,7 @@
         statement.sql.to_string(),
         statement.types.clone(),
     );
-    connection.channel.queue_front(&Front::Parse(parse))?;
+    connection.channel.queue_frontend(&Front::Parse(parse))?;
     let statement = statement.clone();
     pending.push_back(Pending::Prepared { statement, shown });
     Ok(())
@@ -140,7 +142,7 @@
         if close == Close::Flush && (pending.is_empty() || answer.error.is_some()) {
             return Ok(answer);
         }
-        let message = connection.channel.read_back().await?;
+        let message = connection.channel.read_backend().await?;
         match &message {
             Back::ReadyForQuery(ready) => {
                 answer.status = Some(match ready.status {
@@ -151,14 +153,14 @@
                 return Ok(answer);
             }
             Back::ParameterStatus(parameter) => {
-                if parameter.name == report::POSITION {
+                if parameter.name == response::POSITION_PARAMETER {
                     answer.position = parameter.value.parse().ok();
                     connection.position = answer.position.or(connection.position);
                 }
                 continue;
             }
             Back::ErrorResponse(error) => {
-                let code = report::code_of(error).to_owned();
+                let code = response::sqlstate(error).to_owned();
                 answer.error.get_or_insert(code);
                 pending.clear();
             }
--- a/src/postgres/report.rs
+++ b/src/postgres/response.rs
@@ -8,12 +8,12 @@
 pub const SERVER_VERSION: &str = "15.0 (larkfall)";
 
 /// Parameter in which a member reports the position its answers reach.
-pub const POSITION: &str = "larkfall.position";
+pub const POSITION_PARAMETER: &str = "larkfall.position";
 /// Parameter in which a box hands the session's token to the caller.
-pub const TOKEN: &str = "larkfall.token";
+pub const TOKEN_PARAMETER: &str = "larkfall.token";
 
 /// What callers are told at start-up besides the version.
-pub const SESSION: [(&str, &str); 6] = [
+pub const SESSION_PARAMETERS: [(&str, &str); 6] = [
     ("server_encoding", "UTF8"),
     ("client_encoding", "UTF8"),
     ("DateStyle", "ISO, MDY"),
@@ -24,22 +24,22 @@
 
 /// An error with its SQLSTATE, as sent to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct SqlError {
     pub severity: &'static str,
     pub code: String,
-    pub message: String,
+    pub to_message: String,
     pub detail: Option<String>,
-    pub hint: Option<String>,
+    pub with_hint: Option<String>,
 }
 
-impl Report {
+impl SqlError {
     pub fn error(code: &str, message: impl Into<String>) -> Self {
         Self {
             severity: "ERROR",
             code: code.to_owned(),
-            message: message.into(),
+            to_message: message.into(),
             detail: None,
-            hint: None,
+            with_hint: None,
         }
     }
 
@@ -50,34 +50,34 @@
         }
     }
 
-    pub fn hint(mut self, hint: impl Into<String>) -> Self {
-        self.hint = Some(hint.into());
+    pub fn with_hint(mut self, hint: impl Into<String>) -> Self {
+        self.with_hint = Some(hint.into());
         self
     }
 
-    pub fn message(&self) -> Back {
+    pub fn to_message(&self) -> Back {
         let mut fields = vec![
             (b'S', self.severity.to_owned()),
             (b'V', self.severity.to_owned()),
             (b'C', self.code.clone()),
-            (b'M', self.message.clone()),
+            (b'M', self.to_message.clone()),
         ];
         fields.extend(self.detail.clone().map(|text| (b'D', text)));
-        fields.extend(self.hint.clone().map(|text| (b'H', text)));
+        fields.extend(self.with_hint.clone().map(|text| (b'H', text)));
         Back::ErrorResponse(ErrorResponse::new(fields))
     }
 }
 
 /// SQLSTATE of an error message, empty when it has none.
-pub fn code_of(error: &ErrorResponse) -> &str {
+pub fn sqlstate(error: &ErrorResponse) -> &str {
     let code = error.fields.iter().find(|(kind, _)| *kind == b'C');
     code.map_or("", |(_, value)| value)
 }
 
-pub fn parameter(name: &str, value: impl Into<String>) -> Back {
+pub fn parameter_status(name: &str, value: impl Into<String>) -> Back {
     Back::ParameterStatus(ParameterStatus::new(name.to_owned(), value.into()))
 }
 
-pub fn ready(status: TransactionStatus) -> Back {
+pub fn ready_for_query(status: TransactionStatus) -> Back {
     Back::ReadyForQuery(ReadyForQuery::new(status))
 }
--- a/src/postgres/session.rs
+++ b/src/postgres/session.rs
@@ -17,7 +17,7 @@
 use super::channel::{Channel, ChannelError};
 use super::failure::{self, state};
 use super::relay::encoded;
-use super::report::{self, Report};
+use super::response::{self, SqlError};
 use super::steps::{Close, Expect, Statement, Step, Steps};
 use crate::borders::upstream::Setup;
 use crate::decisions::classify::{Class, Command, Kind};
@@ -118,7 +118,7 @@
             let idle = self.core.is_idle();
             let message = tokio::select! {
                 biased;
-                message = self.channel.read_front() => match message {
+                message = self.channel.read_frontend() => match message {
                     Err(error @ ChannelError::Malformed(_)) => {
                         return self.hang_up(error).await;
                     }
@@ -137,15 +137,15 @@
 
     /// Tells a caller that broke the protocol why it is cut off.
     async fn hang_up(&mut self, error: ChannelError) -> Result<(), ChannelError> {
-        let report = Report::fatal("08P01", error.to_string());
-        self.channel.queue_back(&report.message())?;
+        let report = SqlError::fatal("08P01", error.to_string());
+        self.channel.queue_backend(&report.to_message())?;
         self.channel.flush().await?;
         Err(error)
     }
 
     async fn say_goodbye(&mut self) -> Result<(), ChannelError> {
-        let report = Report::fatal("57P01", "this box is leaving; connect again");
-        self.channel.queue_back(&report.message())?;
+        let report = SqlError::fatal("57P01", "this box is leaving; connect again");
+        self.channel.queue_backend(&report.to_message())?;
         self.channel.flush().await
     }
 
@@ -181,7 +181,7 @@
                 Ok(())
             }
             _ => {
-                let report = Report::error(state::UNSUPPORTED, "this message is not supported");
+                let report = SqlError::error(state::UNSUPPORTED, "this message is not supported");
                 self.fail(&report, None).await
             }
         }
@@ -213,7 +213,7 @@
     async fn ensure(&mut self, name: &str) -> Result<Option<Named>, ChannelError> {
         let Some(named) = self.statements.get(name).cloned() else {
             let message = format!("prepared statement {name:?} does not exist");
-            self.fail(&Report::error("26000", message), None).await?;
+            self.fail(&SqlError::error("26000", message), None).await?;
             return Ok(None);
         };
         self.batch.join(named.class.clone());
@@ -266,7 +266,7 @@
         }
         if sql.trim().is_empty() {
             let empty = Back::EmptyQueryResponse(EmptyQueryResponse::new());
-            self.channel.queue_back(&empty)?;
+            self.channel.queue_backend(&empty)?;
             return self.ready().await;
         }
         let read = matches!(class.kind, Kind::Read | Kind::Begin | Kind::BeginRead);
@@ -296,35 +296,36 @@
                 }
                 None => {
                     let message = format!("unrecognized configuration parameter {name:?}");
-                    return self.fail(&Report::error("42704", message), query).await;
+                    return self.fail(&SqlError::error("42704", message), query).await;
                 }
             },
             Command::Reset => "RESET",
             Command::Refuse { what } => return self.fail(&unsupported(what), query).await,
             Command::None => {
                 let message = "this setting is not supported on pooled connections";
-                let report = Report::error(state::UNSUPPORTED, message);
+                let report = SqlError::error(state::UNSUPPORTED, message);
                 return self.fail(&report, query).await;
             }
         };
         let complete = CommandComplete::new(tag.to_owned());
-        self.channel.queue_back(&Back::CommandComplete(complete))?;
+        self.channel
+            .queue_backend(&Back::CommandComplete(complete))?;
         self.ready().await
     }
 
-    fn set(&mut self, name: &str, value: &str) -> Result<(), Report> {
+    fn set(&mut self, name: &str, value: &str) -> Result<(), SqlError> {
         let some = || (!value.is_empty()).then(|| Arc::from(value));
         match name {
             ONCE => self.once = some(),
             KIND => self.kind = some(),
-            report::TOKEN => match value.parse::<Position>() {
+            response::TOKEN_PARAMETER => match value.parse::<Position>() {
                 Ok(position) => self.core.floors.raise(position),
-                Err(error) => return Err(Report::error("22023", error.to_string())),
+                Err(error) => return Err(SqlError::error("22023", error.to_string())),
             },
             name if HARMLESS.contains(&name) => {}
             name => {
                 let message = format!("setting {name:?} is not supported on pooled connections");
-                return Err(Report::error(state::UNSUPPORTED, message));
+                return Err(SqlError::error(state::UNSUPPORTED, message));
             }
         }
         Ok(())
@@ -332,13 +333,13 @@
 
     fn show(&self, name: &str) -> Option<String> {
         match name {
-            report::TOKEN => Some(
+            response::TOKEN_PARAMETER => Some(
                 self.core
                     .floors
                     .token()
                     .map_or(String::new(), Position::token),
             ),
-            "server_version" => Some(report::SERVER_VERSION.to_owned()),
+            "server_version" => Some(response::SERVER_VERSION.to_owned()),
             "transaction.isolation.level" => Some("read committed".to_owned()),
             "standard_conforming_strings" => Some("on".to_owned()),
             _ => None,
@@ -349,12 +350,12 @@
         let field = FieldDescription::new(name.to_owned(), 0, 0, TEXT_OID, -1, -1, 0);
         let description = RowDescription::new(vec![field]);
         self.channel
-            .queue_back(&Back::RowDescription(description))?;
+            .queue_backend(&Back::RowDescription(description))?;
         let mut cell = BytesMut::new();
         cell.extend_from_slice(&(value.len() as i32).to_be_bytes());
         cell.extend_from_slice(value.as_bytes());
         let row = Back::DataRow(DataRow::new(cell, 1));
-        self.channel.queue_back(&row)
+        self.channel.queue_backend(&row)
     }
 
     // Exchanges.
@@ -378,20 +379,20 @@
         };
         match served {
             Some(Ok(reply)) => self.answer(reply, close, token).await,
-            Some(Err(failure)) => self.fail(&failure::report(&failure), Some(close)).await,
+            Some(Err(failure)) => self.fail(&failure::to_error(&failure), Some(close)).await,
             None => {
-                let failure = Report::error("57014", "canceling statement due to user request");
+                let failure = SqlError::error("57014", "canceling statement due to user request");
                 self.fail(&failure, Some(close)).await
             }
         }
     }
 
-    fn exchange(&mut self, batch: Batch, close: Close) -> Result<(Exchange, Scope), Report> {
+    fn exchange(&mut self, batch: Batch, close: Close) -> Result<(Exchange, Scope), SqlError> {
         let snapshot = self.context.snapshot.borrow().clone();
         let plan = snapshot
             .groups
             .get(&self.group)
-            .ok_or_else(|| Report::fatal("3D000", "this database group is no longer declared"))?;
+            .ok_or_else(|| SqlError::fatal("3D000", "this database group is no longer declared"))?;
         let class = batch.class.unwrap_or_else(|| self.context.classes.of(""));
         if let Command::Refuse { what } = class.command {
             return Err(unsupported(what));
@@ -454,7 +455,7 @@
         plan: &Plan,
         class: &Class,
         effect: Effect,
-    ) -> Result<Option<Arc<str>>, Report> {
+    ) -> Result<Option<Arc<str>>, SqlError> {
         if effect != Effect::Writes || class.kind != Kind::Write {
             return Ok(None);
         }
@@ -469,11 +470,11 @@
                 let message =
                     format!("writes to {table} need a key, so that they run at most once");
                 let hint = "send /* larkfall: once=KEY */ or SET larkfall.once = 'KEY' before it";
-                Err(Report::error(state::KEY_MISSING, message).hint(hint))
+                Err(SqlError::error(state::KEY_MISSING, message).with_hint(hint))
             }
             (Some(_), _) if self.core.status != Status::Idle || self.core.is_holding() => {
                 let message = "a request with a key can't be part of a larger transaction";
-                Err(Report::error(state::UNSUPPORTED, message))
+                Err(SqlError::error(state::UNSUPPORTED, message))
             }
             (key, _) => Ok(key),
         }
@@ -489,8 +490,8 @@
         self.channel.queue_bytes(&reply.messages);
         let after = self.core.floors.token().filter(|t| Some(*t) != before);
         if let Some(position) = after {
-            let token = report::parameter(report::TOKEN, position.token());
-            self.channel.queue_back(&token)?;
+            let token = response::parameter_status(response::TOKEN_PARAMETER, position.token());
+            self.channel.queue_backend(&token)?;
         }
         if close == Close::Flush {
             self.skipping = reply.failed;
@@ -508,7 +509,7 @@
         if !ends {
             let message = "the transaction is gone; end it and begin anew";
             return self
-                .fail(&Report::error("25P02", message), Some(close))
+                .fail(&SqlError::error("25P02", message), Some(close))
                 .await;
         }
         self.core.end_lost();
@@ -546,10 +547,10 @@
 
     /// Reports an error of this box's own. Before a Sync, everything up to it is
     /// skipped; an open transaction is given up, as a database would.
-    async fn fail(&mut self, report: &Report, close: Option<Close>) -> Result<(), ChannelError> {
+    async fn fail(&mut self, report: &SqlError, close: Option<Close>) -> Result<(), ChannelError> {
         self.batch = Batch::default();
         self.core.give_up();
-        self.channel.queue_back(&report.message())?;
+        self.channel.queue_backend(&report.to_message())?;
         match close {
             Some(Close::Query | Close::Sync) => self.ready().await,
             Some(Close::Flush) | None => {
@@ -565,7 +566,8 @@
             Status::Transaction => TransactionStatus::Transaction,
             Status::Failed => TransactionStatus::Error,
         };
-        self.channel.queue_back(&report::ready(status))?;
+        self.channel
+            .queue_backend(&response::ready_for_query(status))?;
         self.channel.flush().await
     }
 }
@@ -583,9 +585,9 @@
     }
 }
 
-fn unsupported(what: &str) -> Report {
+fn unsupported(what: &str) -> SqlError {
     let message = format!("{what} is not supported on pooled connections");
-    Report::error(state::UNSUPPORTED, message)
+    SqlError::error(state::UNSUPPORTED, message)
 }
 
 /// A statement under a name that depends only on what it is.
--- a/src/standin/ports.rs
+++ b/src/standin/ports.rs
@@ -7,17 +7,17 @@
 use crate::configs::run::Run;
 use crate::http::Client;
 use crate::node::run::Ports;
-use crate::postgres::connection::Remote;
-use crate::postgres::entry::Front;
+use crate::postgres::connection::Connector;
+use crate::postgres::entry::Acceptor;
 
 /// Ports for these settings.
 pub fn standin(settings: &Run) -> Ports {
     let client = Client::new(settings.ip);
     let from = settings.ip;
     let platform = Rc::new(Platform::new(client.clone(), settings.platform.clone()));
-    let dialer = Remote {
-        from,
-        wait: settings.connect_wait,
+    let dialer = Connector {
+        source: from,
+        timeout: settings.connect_wait,
     };
     let members = Remotes {
         client: client.clone(),
@@ -25,7 +25,7 @@
     };
     Ports::new(
         client,
-        Rc::new(Front),
+        Rc::new(Acceptor),
         Rc::new(dialer),
         |_| Rc::new(members),
         platform.clone(),
--- a/src/standin/session.rs
+++ b/src/standin/session.rs
@@ -23,7 +23,7 @@
 use super::value;
 use crate::decisions::position::Position;
 use crate::postgres::channel::{Channel, ChannelError, Opening};
-use crate::postgres::report::{self, Report};
+use crate::postgres::response::{self, SqlError};
 
 const LOCK_WAIT: Duration = Duration::from_secs(5);
 
@@ -121,28 +121,29 @@
     }
 
     async fn start(&mut self) -> Result<bool, ChannelError> {
-        let opening = self.channel.open().await?;
+        let opening = self.channel.read_opening().await?;
         self.member.gate.enter(self.peer).await;
         if let Opening::Cancel { .. } = opening {
             return Ok(false);
         }
         if self.member.state().open > self.member.settings.connections {
-            let error = Report::fatal("53300", "sorry, too many clients already");
-            self.channel.queue_back(&error.message())?;
+            let error = SqlError::fatal("53300", "sorry, too many clients already");
+            self.channel.queue_backend(&error.to_message())?;
             self.channel.flush().await?;
             return Ok(false);
         }
         tokio::time::sleep(Duration::from_millis(self.member.settings.connect_ms)).await;
         self.channel
-            .queue_back(&Back::Authentication(Authentication::Ok))?;
+            .queue_backend(&Back::Authentication(Authentication::Ok))?;
         for (name, value) in [("server_version", "15.0 (larkfall stand-in)")]
             .into_iter()
-            .chain(report::SESSION)
+            .chain(response::SESSION_PARAMETERS)
         {
-            self.channel.queue_back(&report::parameter(name, value))?;
+            self.channel
+                .queue_backend(&response::parameter_status(name, value))?;
         }
         let key = BackendKeyData::new(1, SecretKey::I32(1));
-        self.channel.queue_back(&Back::BackendKeyData(key))?;
+        self.channel.queue_backend(&Back::BackendKeyData(key))?;
         self.ready().await?;
         Ok(true)
     }
@@ -150,7 +151,7 @@
     async fn serve(&mut self) -> Result<(), ChannelError> {
         loop {
             let waits = !self.channel.has_input();
-            let message = self.channel.read_front().await?;
+            let message = self.channel.read_frontend().await?;
             if waits {
                 self.member.gate.enter(self.peer).await;
             }
@@ -186,8 +187,8 @@
         } else {
             self.transaction = None;
         }
-        let error = Report::error(fault.code, fault.message.clone());
-        self.channel.queue_back(&error.message())
+        let error = SqlError::error(fault.code, fault.message.clone());
+        self.channel.queue_backend(&error.to_message())
     }
 
     /// Ends what was opened only for this query or this run up to Sync.
@@ -206,15 +207,17 @@
         let position = self.member.state().applied_position();
         if position != self.reported {
             self.reported = position;
-            let parameter = report::parameter(report::POSITION, position.token());
-            self.channel.queue_back(&parameter)?;
+            let parameter =
+                response::parameter_status(response::POSITION_PARAMETER, position.token());
+            self.channel.queue_backend(&parameter)?;
         }
         let status = match (self.explicit, self.failed) {
             (false, _) => TransactionStatus::Idle,
             (true, false) => TransactionStatus::Transaction,
             (true, true) => TransactionStatus::Error,
         };
-        self.channel.queue_back(&report::ready(status))?;
+        self.channel
+            .queue_backend(&response::ready_for_query(status))?;
         self.answer().await
     }
 
@@ -423,7 +426,7 @@
 
     fn queue(&mut self, message: &Back) -> Result<(), Fault> {
         self.channel
-            .queue_back(message)
+            .queue_backend(message)
             .map_err(|error| Fault::new("08P01", error.to_string()))
     }
 }
--- a/src/trial/client.rs
+++ b/src/trial/client.rs
@@ -13,7 +13,7 @@
 
 use crate::postgres::channel::{Channel, ChannelError};
 use crate::postgres::failure::state;
-use crate::postgres::report;
+use crate::postgres::response;
 
 /// Why a query brought no rows.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -92,16 +92,16 @@
         let stream = TcpStream::connect(address).await.map_err(lost)?;
         stream.set_nodelay(true).map_err(lost)?;
         let mut channel = Channel::new(Box::new(stream));
-        channel.opened();
+        channel.mark_started();
         let mut startup = Startup::new();
         startup.protocol_number_minor = 0;
         let parameters = &mut startup.parameters;
         parameters.insert("user".to_owned(), user.to_owned());
         parameters.insert("database".to_owned(), database.to_owned());
         if let Some(token) = token {
-            parameters.insert(report::TOKEN.to_owned(), token.to_owned());
+            parameters.insert(response::TOKEN_PARAMETER.to_owned(), token.to_owned());
         }
-        channel.queue_front(&Front::Startup(startup))?;
+        channel.queue_frontend(&Front::Startup(startup))?;
         channel.flush().await?;
         let mut client = Self {
             channel,
@@ -114,7 +114,7 @@
     /// Runs one simple query.
     pub async fn query(&mut self, sql: &str) -> Result<Answer, ClientError> {
         self.channel
-            .queue_front(&Front::Query(Query::new(sql.to_owned())))?;
+            .queue_frontend(&Front::Query(Query::new(sql.to_owned())))?;
         self.channel.flush().await?;
         self.answer().await
     }
@@ -123,11 +123,11 @@
         let mut answer = Answer::default();
         let mut failure = None;
         loop {
-            match self.channel.read_back().await? {
+            match self.channel.read_backend().await? {
                 Back::ReadyForQuery(_) => return failure.map_or(Ok(answer), Err),
                 Back::DataRow(row) => answer.rows.push(cells(&row)),
                 Back::CommandComplete(complete) => answer.tag = complete.tag,
-                Back::ParameterStatus(parameter) if parameter.name == report::TOKEN => {
+                Back::ParameterStatus(parameter) if parameter.name == response::TOKEN_PARAMETER => {
                     self.token = Some(parameter.value);
                 }
                 Back::ErrorResponse(error) => {
@@ -151,7 +151,7 @@
 
 fn sql_error(error: &ErrorResponse) -> ClientError {
     ClientError::Sql {
-        code: report::code_of(error).to_owned(),
+        code: response::sqlstate(error).to_owned(),
         message: field(error, b'M').unwrap_or_default(),
         hint: field(error, b'H'),
     }
