--- a/src/postgres.rs
+++ b/src/postgres.rs
@@ -1,5 +1,5 @@
-//! The PostgreSQL protocol, as a codec of the core: callers on one side, members
-//! on the other. The message codec is the library's, the sockets are ours.
+//! Codec of the core for the PostgreSQL protocol: serves callers and connects to members.
+//! Messages are encoded and decoded by `pgwire`; sockets and sessions are implemented here.
 
 pub mod channel;
 pub mod connection;
--- a/src/postgres/channel.rs
+++ b/src/postgres/channel.rs
@@ -1,4 +1,4 @@
-//! A socket that carries PostgreSQL messages, either end of it.
+//! Buffered exchange of PostgreSQL messages over a byte stream, for either end of a connection.
 
 use std::io;
 
@@ -10,15 +10,15 @@
 };
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-const BUFFER_BYTES: usize = 8 * 1024;
-/// A caller's queued answer is written out beyond this many bytes.
+const INITIAL_BUFFER_BYTES: usize = 8 * 1024;
+/// Amount of queued output above which a sender flushes.
 pub const FLUSH_THRESHOLD_BYTES: usize = 64 * 1024;
 
-/// Anything that carries bytes both ways: a socket, with or without TLS.
+/// A bidirectional byte stream, such as a TCP or TLS socket.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
 
-/// Why a channel can't go on.
+/// An error after which a channel can't be used any more.
 #[derive(Debug, thiserror::Error)]
 pub enum ChannelError {
     #[error("connection lost: {0}")]
@@ -31,13 +31,13 @@
     Unexpected(String),
 }
 
-/// How a caller opened its connection.
+/// The first message of a connection, after encryption was negotiated.
 pub enum Opening {
     Startup(Startup),
     Cancel { pid: i32, secret: i32 },
 }
 
-/// One end of a connection with its buffers.
+/// One end of a connection, with its input and output buffers.
 pub struct Channel {
     stream: Box<dyn Stream>,
     input: BytesMut,
@@ -49,13 +49,13 @@
     pub fn new(stream: Box<dyn Stream>) -> Self {
         Self {
             stream,
-            input: BytesMut::with_capacity(BUFFER_BYTES),
-            output: BytesMut::with_capacity(BUFFER_BYTES),
+            input: BytesMut::with_capacity(INITIAL_BUFFER_BYTES),
+            output: BytesMut::with_capacity(INITIAL_BUFFER_BYTES),
             context: DecodeContext::default(),
         }
     }
 
-    /// Reads a caller's opening, declining encryption.
+    /// Reads a caller's opening message; requests for encryption are declined.
     pub async fn read_opening(&mut self) -> Result<Opening, ChannelError> {
         loop {
             match self.read_frontend().await? {
@@ -79,13 +79,13 @@
         }
     }
 
-    /// Takes this end for the one that opened the connection.
+    /// Skips the start-up phase of the decoder, for the end that opened the connection.
     pub fn mark_started(&mut self) {
         self.context.awaiting_frontend_ssl = false;
         self.context.awaiting_frontend_startup = false;
     }
 
-    /// Next message of a caller.
+    /// Reads the next message of a caller.
     pub async fn read_frontend(&mut self) -> Result<PgWireFrontendMessage, ChannelError> {
         loop {
             if let Some(message) = PgWireFrontendMessage::decode(&mut self.input, &self.context)? {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Next message of a member.
+    /// Reads the next message of a member.
     pub async fn read_backend(&mut self) -> Result<PgWireBackendMessage, ChannelError> {
         loop {
             if let Some(message) = PgWireBackendMessage::decode(&mut self.input, &self.context)? {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Waits for the other side to send or close. Cancel-safe.
+    /// Reads more input into the buffer; fails once the other side has closed. Cancel-safe.
     pub async fn fill(&mut self) -> Result<(), ChannelError> {
         match self.stream.read_buf(&mut self.input).await? {
             0 => Err(ChannelError::Closed),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Whether bytes wait that nobody asked for.
+    /// Whether the buffer holds input that has not been decoded.
     pub fn has_input(&self) -> bool {
         !self.input.is_empty()
     }
--- a/src/postgres/connection.rs
+++ b/src/postgres/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a member that speaks PostgreSQL.
+//! Connections to members over the PostgreSQL protocol.
 
 use std::collections::HashSet;
 use std::net::{IpAddr, SocketAddr};
@@ -23,19 +23,21 @@
 use crate::decisions::position::Position;
 use crate::declarations::resource::Member;
 
-/// Statements kept prepared on one connection; above it the connection is not kept.
-const MOST_STATEMENTS: usize = 500;
+/// A connection with more prepared statements is not reused.
+const MAX_PREPARED_STATEMENTS: usize = 500;
 
-/// Opens connections from one address.
+/// Opens connections to members.
 pub struct Connector {
+    /// Local address that connections are made from.
     pub source: IpAddr,
-    /// Time a new connection may take.
+    /// Limit for connecting and starting up.
     pub timeout: Duration,
 }
 
 #[async_trait(?Send)]
 impl Dialer for Connector {
-    /// Members see one user for all workspaces: a pooled connection serves any of them.
+    /// Connects as the same user for every workspace, so that any workspace can reuse a
+    /// pooled connection.
     async fn connect(
         &self,
         member: &Member,
@@ -47,18 +49,21 @@
     }
 }
 
-/// An open connection and what is prepared on it.
+/// An open connection to a member.
 pub struct Connection {
     pub channel: Channel,
+    /// Names of the statements prepared on the connection.
     pub prepared: HashSet<Arc<str>>,
-    /// Position that the member reported last on it.
+    /// Position that the member last reported on the connection.
     pub position: Option<Position>,
 }
 
 impl Connection {
-    async fn open(from: IpAddr, address: &str) -> Result<Self, ConnectError> {
+    async fn open(source: IpAddr, address: &str) -> Result<Self, ConnectError> {
         let lost = |error: &dyn std::fmt::Display| ConnectError::Lost(error.to_string());
-        let channel = dial(from, address).await.map_err(|error| lost(&error))?;
+        let channel = open_channel(source, address)
+            .await
+            .map_err(|error| lost(&error))?;
         let mut connection = Self {
             channel,
             prepared: HashSet::new(),
@@ -85,7 +90,7 @@
         }
     }
 
-    /// Runs one statement of our own.
+    /// Runs a statement of the proxy itself as a simple query.
     pub async fn query(&mut self, sql: &str) -> Result<relay::Answer, ChannelError> {
         let mut bytes = BytesMut::new();
         Front::Query(Query::new(sql.to_owned())).encode(&mut bytes)?;
@@ -97,11 +102,12 @@
     }
 }
 
-async fn dial(from: IpAddr, address: &str) -> Result<Channel, ChannelError> {
+/// Connects to an address and sends the start-up message.
+async fn open_channel(source: IpAddr, address: &str) -> Result<Channel, ChannelError> {
     let invalid = |_| ChannelError::Unexpected(format!("address {address}"));
     let address: SocketAddr = address.parse().map_err(invalid)?;
     let socket = TcpSocket::new_v4()?;
-    socket.bind(SocketAddr::new(from, 0))?;
+    socket.bind(SocketAddr::new(source, 0))?;
     let stream = socket.connect(address).await?;
     stream.set_nodelay(true)?;
     let mut channel = Channel::new(Box::new(stream));
@@ -124,7 +130,7 @@
     }
 }
 
-fn opened(task: &Task<'_>) -> Result<Steps, UpstreamError> {
+fn decode_steps(task: &Task<'_>) -> Result<Steps, UpstreamError> {
     let steps = Steps::from_payload(task.payload);
     steps.map_err(|error| UpstreamError::Nonsense(error.to_string()))
 }
@@ -132,14 +138,14 @@
 #[async_trait(?Send)]
 impl Upstream for Connection {
     async fn run(&mut self, task: &Task<'_>) -> Result<Answer, UpstreamError> {
-        let steps = opened(task)?;
+        let steps = decode_steps(task)?;
         let answer = relay::run(self, &steps.steps, steps.close).await?;
-        Ok(answer.typed())
+        Ok(answer.into_upstream())
     }
 
     async fn run_keyed(&mut self, task: &Task<'_>, key: &str) -> Result<Keyed, UpstreamError> {
-        let steps = opened(task)?;
-        Ok(ledger::transaction(self, &steps, key).await?)
+        let steps = decode_steps(task)?;
+        Ok(ledger::run_once(self, &steps, key).await?)
     }
 
     async fn roll_back(&mut self) -> Result<(), UpstreamError> {
@@ -152,7 +158,7 @@
     }
 
     fn is_reusable(&mut self) -> bool {
-        let few = self.prepared.len() <= MOST_STATEMENTS;
-        few && !self.channel.has_input() && self.channel.fill().now_or_never().is_none()
+        let under_limit = self.prepared.len() <= MAX_PREPARED_STATEMENTS;
+        under_limit && !self.channel.has_input() && self.channel.fill().now_or_never().is_none()
     }
 }
--- a/src/postgres/entry.rs
+++ b/src/postgres/entry.rs
@@ -1,4 +1,4 @@
-//! Takes callers: start-up, password, token, then a session.
+//! Accepts callers: checks their start-up message and password, then serves their session.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,17 +22,18 @@
 use crate::declarations::snapshot::group_id;
 use crate::events;
 use crate::node::context::{Caller, Context};
-use crate::node::entry::Entry as Border;
+use crate::node::entry::Entry;
 use crate::node::owner::Owner;
 use crate::secret;
 
-type Key = (i32, i32);
+/// Process id and secret by which a caller cancels its statement.
+type CancelKey = (i32, i32);
 
-/// Takes callers that speak PostgreSQL.
+/// Accepts callers that speak PostgreSQL.
 pub struct Acceptor;
 
 #[async_trait(?Send)]
-impl Border for Acceptor {
+impl Entry for Acceptor {
     async fn serve(
         &self,
         context: Rc<Context>,
@@ -43,12 +44,12 @@
     }
 }
 
-/// The callers of a box.
+/// Serves the callers of one listener.
 struct Server {
     context: Rc<Context>,
     owner: Rc<Owner>,
-    /// Sessions that can be cancelled, by the key they were given.
-    sessions: RefCell<HashMap<Key, Rc<Notify>>>,
+    /// Open sessions, notified when their caller cancels a statement.
+    sessions: RefCell<HashMap<CancelKey, Rc<Notify>>>,
 }
 
 impl Server {
@@ -60,7 +61,7 @@
         })
     }
 
-    /// Takes callers until the box leaves.
+    /// Accepts callers until the box shuts down.
     async fn accept_all(self: Rc<Self>, listener: TcpListener) -> std::io::Result<()> {
         let mut leaving = self.context.leaving.clone();
         loop {
@@ -68,44 +69,45 @@
                 accepted = listener.accept() => accepted?,
                 _ = leaving.wait_for(|leaving| *leaving) => return Ok(()),
             };
-            let entry = self.clone();
+            let server = self.clone();
             tokio::task::spawn_local(async move {
-                let _counted = Caller::new(&entry.context);
-                if let Err(error) = entry.take(socket).await
+                let _counted = Caller::new(&server.context);
+                if let Err(error) = server.serve_caller(socket).await
                     && !matches!(error, ChannelError::Closed | ChannelError::Io(_))
                 {
-                    let log = &entry.context.log;
+                    let log = &server.context.log;
                     events::emit(log, &events::CALLER_PROTOCOL, &[("error", &error)]);
                 }
             });
         }
     }
 
-    async fn take(&self, socket: TcpStream) -> Result<(), ChannelError> {
+    async fn serve_caller(&self, socket: TcpStream) -> Result<(), ChannelError> {
         socket.set_nodelay(true)?;
         let mut channel = Channel::new(Box::new(socket));
-        let opened = self.open(&mut channel).await;
-        let startup = match opened {
+        let opening = self.read_startup(&mut channel).await;
+        let startup = match opening {
             Ok(Some(startup)) => startup,
             Ok(None) => return Ok(()),
             Err(error @ ChannelError::Malformed(_)) => {
-                let report = SqlError::fatal("08P01", error.to_string());
-                return refuse(&mut channel, &report).await.and(Err(error));
+                let refusal = SqlError::fatal("08P01", error.to_string());
+                return send_error(&mut channel, &refusal).await.and(Err(error));
             }
             Err(error) => return Err(error),
         };
-        let accepted = match self.accept(&mut channel, &startup).await? {
+        let accepted = match self.authenticate(&mut channel, &startup).await? {
             Ok(accepted) => accepted,
-            Err(report) => {
-                let why = &report.to_message;
+            Err(refusal) => {
+                let why = &refusal.message;
                 events::emit(&self.context.log, &events::CALLER_REFUSED, &[("why", why)]);
-                return refuse(&mut channel, &report).await;
+                return send_error(&mut channel, &refusal).await;
             }
         };
         self.serve_session(channel, accepted).await
     }
 
-    async fn open(&self, channel: &mut Channel) -> Result<Option<Startup>, ChannelError> {
+    /// Reads the start-up message; returns none after handling a cancel request.
+    async fn read_startup(&self, channel: &mut Channel) -> Result<Option<Startup>, ChannelError> {
         match channel.read_opening().await? {
             Opening::Startup(startup) => Ok(Some(startup)),
             Opening::Cancel { pid, secret } => {
@@ -117,15 +119,15 @@
         }
     }
 
-    /// Checks who calls and for which group.
-    async fn accept(
+    /// Checks the caller's partner, password and group.
+    async fn authenticate(
         &self,
         channel: &mut Channel,
         startup: &Startup,
     ) -> Result<Result<Accepted, SqlError>, ChannelError> {
         if self.context.callers.get() > self.context.live.borrow().callers {
-            let report = SqlError::fatal("53300", "this box takes no more callers; try another");
-            return Ok(Err(report));
+            let refusal = SqlError::fatal("53300", "this box takes no more callers; try another");
+            return Ok(Err(refusal));
         }
         let user = startup.parameters.get("user").cloned().unwrap_or_default();
         let database = startup.parameters.get("database").cloned();
@@ -135,7 +137,7 @@
             let message = format!("user {user:?} is no declared partner");
             return Ok(Err(SqlError::fatal("28000", message)));
         };
-        if !self.password_fits(channel, partner).await? {
+        if !self.verify_password(channel, partner).await? {
             let message = format!("password authentication failed for user {user:?}");
             return Ok(Err(SqlError::fatal("28P01", message)));
         }
@@ -144,11 +146,12 @@
             let message = format!("database {database:?} is no declared group of {user:?}");
             return Ok(Err(SqlError::fatal("3D000", message)));
         }
-        let floor = self.floor(startup);
+        let floor = self.token_floor(startup);
         Ok(Ok(Accepted { group, floor }))
     }
 
-    async fn password_fits(
+    /// Whether the caller's password is right; true where the partner has none.
+    async fn verify_password(
         &self,
         channel: &mut Channel,
         partner: &Partner,
@@ -156,8 +159,8 @@
         let Some(hash) = &partner.caller else {
             return Ok(true);
         };
-        let ask = Back::Authentication(Authentication::CleartextPassword);
-        channel.queue_backend(&ask)?;
+        let request = Back::Authentication(Authentication::CleartextPassword);
+        channel.queue_backend(&request)?;
         channel.flush().await?;
         match channel.read_frontend().await? {
             PgWireFrontendMessage::PasswordMessageFamily(message) => {
@@ -168,11 +171,12 @@
         }
     }
 
-    /// The session's floor from the token it hands in.
-    fn floor(&self, startup: &Startup) -> Option<Position> {
-        let direct = startup.parameters.get(response::TOKEN_PARAMETER).cloned();
-        let token = direct.or_else(|| {
-            option(
+    /// Returns the position of the token in the start-up parameters. A malformed token is
+    /// logged and ignored.
+    fn token_floor(&self, startup: &Startup) -> Option<Position> {
+        let parameter = startup.parameters.get(response::TOKEN_PARAMETER).cloned();
+        let token = parameter.or_else(|| {
+            startup_option(
                 startup.parameters.get("options")?,
                 response::TOKEN_PARAMETER,
             )
@@ -192,7 +196,7 @@
         mut channel: Channel,
         accepted: Accepted,
     ) -> Result<(), ChannelError> {
-        let key: Key = (rand::rng().random_range(1..i32::MAX), rand::rng().random());
+        let key: CancelKey = (rand::rng().random_range(1..i32::MAX), rand::rng().random());
         channel.queue_backend(&Back::Authentication(Authentication::Ok))?;
         for (name, value) in [("server_version", response::SERVER_VERSION)]
             .into_iter()
@@ -214,26 +218,28 @@
             accepted.floor,
             cancel,
         );
-        let ended = session.run().await;
+        let result = session.run().await;
         self.sessions.borrow_mut().remove(&key);
-        ended
+        result
     }
 }
 
+/// What an authenticated caller asked for.
 struct Accepted {
     group: Arc<str>,
+    /// Oldest position that the session may read.
     floor: Option<Position>,
 }
 
-async fn refuse(channel: &mut Channel, report: &SqlError) -> Result<(), ChannelError> {
-    channel.queue_backend(&report.to_message())?;
+async fn send_error(channel: &mut Channel, error: &SqlError) -> Result<(), ChannelError> {
+    channel.queue_backend(&error.to_message())?;
     channel.flush().await
 }
 
-/// A setting given as `-c name=value` among the start-up options.
-fn option(options: &str, name: &str) -> Option<String> {
-    let words = options.split_whitespace();
-    let pairs = words.filter_map(|word| word.trim_start_matches("-c").split_once('='));
+/// Returns the value of `-c name=value` in the `options` start-up parameter.
+fn startup_option(options: &str, name: &str) -> Option<String> {
+    let arguments = options.split_whitespace();
+    let pairs = arguments.filter_map(|argument| argument.trim_start_matches("-c").split_once('='));
     let mut found = pairs.filter(|(key, _)| *key == name);
     found.next().map(|(_, value)| value.to_owned())
 }
--- a/src/postgres/failure.rs
+++ b/src/postgres/failure.rs
@@ -1,4 +1,4 @@
-//! The core's failures as PostgreSQL errors.
+//! Translates the core's failures into PostgreSQL errors.
 
 use std::time::Duration;
 
@@ -6,29 +6,29 @@
 use crate::decisions::group::{Reason, Refusal};
 use crate::node::exchange::Failure;
 
-/// SQLSTATEs of larkfall's own answers.
+/// SQLSTATEs of the errors that larkfall itself reports.
 pub mod state {
-    /// Not run: come back after the time in the hint.
+    /// The request did not run; the hint says when to retry.
     pub const NOT_RUN: &str = "LF001";
-    /// It may have run or not.
+    /// The request may have run or not.
     pub const UNKNOWN: &str = "40003";
-    /// A request that must not be repeated came without its key.
+    /// A write to a table with a `once` rule came without a key.
     pub const KEY_MISSING: &str = "LF002";
-    /// A read's connection was lost; it had no effect and may be sent again.
+    /// The connection was lost during a read, which can safely be retried.
     pub const READ_LOST: &str = "08006";
-    /// The transaction was lost with its connection, and rolled back.
+    /// The connection was lost during a transaction, which was rolled back.
     pub const TRANSACTION_LOST: &str = "40001";
     pub const UNSUPPORTED: &str = "0A000";
 }
 
-/// Time to come back when this box is no owner of the group any more.
-const OWNER_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay when this box no longer owns the group.
+const NOT_OWNER_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The error that tells a caller of a failure.
+/// Returns the error that reports a failure to the caller.
 pub fn to_error(failure: &Failure) -> SqlError {
     match failure {
         Failure::NotRun(refusal) => not_run(refusal),
-        Failure::NotOwner => not_run(&Refusal::new(Reason::CutOff, OWNER_RETRY)),
+        Failure::NotOwner => not_run(&Refusal::new(Reason::CutOff, NOT_OWNER_RETRY_DELAY)),
         Failure::Unknown => SqlError::error(
             state::UNKNOWN,
             "the outcome is unknown: the statement may have run or not",
@@ -47,7 +47,7 @@
 }
 
 fn not_run(refusal: &Refusal) -> SqlError {
-    let why = match refusal.reason {
+    let reason = match refusal.reason {
         Reason::Overload => "the expected wait passes its deadline",
         Reason::Retries => "it did not get through",
         Reason::Replacement => "the primary is being replaced",
@@ -56,7 +56,7 @@
         Reason::Limit => "the workspace's limit is used up",
         Reason::Stale => "no member that can be reached is fresh enough for this session",
     };
-    let after = refusal.retry_after.as_millis().max(1);
-    SqlError::error(state::NOT_RUN, format!("not run: {why}"))
-        .with_hint(format!("retry after {after} ms"))
+    let delay_ms = refusal.retry_after.as_millis().max(1);
+    SqlError::error(state::NOT_RUN, format!("not run: {reason}"))
+        .with_hint(format!("retry after {delay_ms} ms"))
 }
--- a/src/postgres/ledger.rs
+++ b/src/postgres/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger of keys: a table of the same group, written in the same transaction
-//! as the request that carries the key.
+//! The ledger of requests that run at most once: a table in the group's database. A request's
+//! key and answer are written in the same transaction as its effect.
 
 use bytes::{Bytes, BytesMut};
 use pgwire::messages::PgWireBackendMessage as Back;
@@ -13,11 +13,12 @@
 
 const CREATE: &str =
     "CREATE TABLE IF NOT EXISTS larkfall_ledger (key text PRIMARY KEY, answer text NOT NULL)";
-const UNIQUE: &str = "23505";
-const NO_TABLE: &str = "42P01";
+const UNIQUE_VIOLATION: &str = "23505";
+const UNDEFINED_TABLE: &str = "42P01";
 
-/// Runs the steps and records their answer under the key, unless it is taken.
-pub async fn transaction(
+/// Runs the steps and records their answer under the key, or returns the recorded answer if
+/// the key exists.
+pub async fn run_once(
     connection: &mut Connection,
     request: &Steps,
     key: &str,
@@ -27,25 +28,25 @@
         quoted(key)
     );
     connection.query("BEGIN").await?;
-    let mut taken = connection.query(&insert).await?;
-    if taken.error.as_deref() == Some(NO_TABLE) {
+    let mut inserted = connection.query(&insert).await?;
+    if inserted.error.as_deref() == Some(UNDEFINED_TABLE) {
         connection.query("ROLLBACK").await?;
         connection.query(CREATE).await?;
         connection.query("BEGIN").await?;
-        taken = connection.query(&insert).await?;
+        inserted = connection.query(&insert).await?;
     }
-    if let Some(code) = &taken.error {
-        let known = code == UNIQUE;
+    if let Some(code) = &inserted.error {
+        let key_exists = code == UNIQUE_VIOLATION;
         let position = connection.query("ROLLBACK").await?.position;
-        return match known {
-            true => recorded(connection, key, position).await,
+        return match key_exists {
+            true => recorded_answer(connection, key, position).await,
             false => Ok(Keyed::Lost),
         };
     }
     let answer = relay::run(connection, &request.steps, request.close).await?;
     if answer.error.is_some() {
         connection.query("ROLLBACK").await?;
-        return Ok(Keyed::Failed(plain(
+        return Ok(Keyed::Failed(idle_answer(
             answer.messages.freeze(),
             Verdict::Failed,
             None,
@@ -53,7 +54,7 @@
     }
     let record = format!(
         "UPDATE larkfall_ledger SET answer = '{}' WHERE key = {}",
-        hex(&answer.messages),
+        to_hex(&answer.messages),
         quoted(key)
     );
     connection.query(&record).await?;
@@ -61,15 +62,19 @@
     match (end.error, end.position) {
         (None, Some(position)) => {
             let messages = answer.messages.freeze();
-            Ok(Keyed::Ran(plain(messages, Verdict::Done, Some(position))))
+            Ok(Keyed::Ran(idle_answer(
+                messages,
+                Verdict::Done,
+                Some(position),
+            )))
         }
         _ => Ok(Keyed::Lost),
     }
 }
 
-/// The answer under a key that is taken. It is given out only once it is known
-/// to last, so the wait is for the member's newest position.
-async fn recorded(
+/// Returns the answer recorded under a key, with the member's latest position: the caller may
+/// receive the answer only once that position is durable.
+async fn recorded_answer(
     connection: &mut Connection,
     key: &str,
     position: Option<Position>,
@@ -84,22 +89,27 @@
     };
     let position = match found.position.or(position) {
         Some(position) => Some(position),
-        None => fresh_position(connection).await?,
+        None => latest_position(connection).await?,
     };
     let Some(position) = position else {
         return Ok(Keyed::Lost);
     };
     let messages = Bytes::from(bytes);
-    Ok(Keyed::Known(plain(messages, Verdict::Done, Some(position))))
+    Ok(Keyed::Known(idle_answer(
+        messages,
+        Verdict::Done,
+        Some(position),
+    )))
 }
 
-/// Makes the member tell its position, by a write that changes nothing.
-async fn fresh_position(connection: &mut Connection) -> Result<Option<Position>, ChannelError> {
-    let touch = "UPDATE larkfall_ledger SET answer = answer WHERE key = ''";
-    Ok(connection.query(touch).await?.position)
+/// Makes the member report its position, by an update that changes nothing.
+async fn latest_position(connection: &mut Connection) -> Result<Option<Position>, ChannelError> {
+    let update = "UPDATE larkfall_ledger SET answer = answer WHERE key = ''";
+    Ok(connection.query(update).await?.position)
 }
 
-fn plain(messages: Bytes, verdict: Verdict, position: Option<Position>) -> Answer {
+/// Builds the answer of a finished transaction.
+fn idle_answer(messages: Bytes, verdict: Verdict, position: Option<Position>) -> Answer {
     Answer {
         messages,
         status: Some(Status::Idle),
@@ -108,24 +118,26 @@
     }
 }
 
-/// The first row's first cell, from hexadecimal.
+/// Decodes the first row's first cell from hexadecimal. A cell starts with its length in
+/// four bytes.
 fn first_cell(messages: &mut BytesMut) -> Result<Option<Vec<u8>>, ChannelError> {
     let mut context = pgwire::messages::DecodeContext::default();
     context.awaiting_frontend_ssl = false;
     context.awaiting_frontend_startup = false;
     while let Some(message) = Back::decode(messages, &context)? {
         if let Back::DataRow(row) = message {
-            return Ok(row.data.get(4..).and_then(unhex));
+            return Ok(row.data.get(4..).and_then(from_hex));
         }
     }
     Ok(None)
 }
 
+/// Returns an SQL string literal.
 fn quoted(text: &str) -> String {
     format!("'{}'", text.replace('\'', "''"))
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     use std::fmt::Write;
     let mut text = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
@@ -134,7 +146,7 @@
     text
 }
 
-fn unhex(text: &[u8]) -> Option<Vec<u8>> {
+fn from_hex(text: &[u8]) -> Option<Vec<u8>> {
     let text = std::str::from_utf8(text).ok()?;
     if text.len() % 2 != 0 {
         return None;
--- a/src/postgres/relay.rs
+++ b/src/postgres/relay.rs
@@ -1,4 +1,4 @@
-//! Carries one exchange over a member's connection and collects the whole answer.
+//! Runs one exchange on a member's connection and collects the whole answer.
 
 use std::collections::VecDeque;
 
@@ -15,16 +15,15 @@
 use crate::borders::upstream::{self, Status, Unrun, Verdict};
 use crate::decisions::position::Position;
 
-/// SQLSTATE of a member that is not the primary and takes no write.
+/// SQLSTATE of a write on a member that is not the primary.
 const READ_ONLY: &str = "25006";
-/// Largest answer that is carried, in bytes.
-const MOST_ANSWER: usize = 256 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
 
-/// A whole answer of a member.
+/// A member's answer to one exchange.
 #[derive(Debug)]
 pub struct Answer {
     pub messages: BytesMut,
-    /// None after a Flush, which leaves the exchange open.
+    /// None after a Flush: the member reports its status only at a Sync.
     pub status: Option<Status>,
     pub position: Option<Position>,
     /// SQLSTATE of the first error.
@@ -32,8 +31,9 @@
 }
 
 impl Answer {
-    /// The answer as the core reads it.
-    pub fn typed(self) -> upstream::Answer {
+    /// Converts the answer for the core. A read-only error outside of a transaction means
+    /// that nothing ran.
+    pub fn into_upstream(self) -> upstream::Answer {
         let idle = self.status == Some(Status::Idle);
         let verdict = match self.error.as_deref() {
             None => Verdict::Done,
@@ -49,28 +49,31 @@
     }
 }
 
+/// One part of the answer, in the order of the steps.
 enum Pending {
     Message(Expect),
-    /// A statement's preparation; shown to the caller or not.
-    Prepared {
+    /// The confirmation of a Parse, passed on to the caller if `visible`.
+    Parse {
         statement: Statement,
-        shown: bool,
+        visible: bool,
     },
-    /// Put in when its turn comes.
-    Ready(Bytes),
+    /// An answer of the box itself, added once the answers before it are complete.
+    Local(Bytes),
 }
 
-/// Sends the steps. Nothing has been sent when this fails before the flush.
+/// Sends the steps and collects the answer.
 pub async fn run(
     connection: &mut Connection,
     steps: &[Step],
     close: Close,
 ) -> Result<Answer, ChannelError> {
-    let pending = send(connection, steps, close).await?;
-    collect(connection, pending, close).await
+    let pending = send_steps(connection, steps, close).await?;
+    collect_answer(connection, pending, close).await
 }
 
-async fn send(
+/// Sends the steps; returns the answers to await. All messages are buffered until the final
+/// flush, so an error before it means that nothing was sent.
+async fn send_steps(
     connection: &mut Connection,
     steps: &[Step],
     close: Close,
@@ -80,20 +83,20 @@
         match step {
             Step::Ensure(statement) => {
                 if !connection.prepared.contains(&statement.name) {
-                    prepare(connection, statement, false, &mut pending)?;
+                    queue_parse(connection, statement, false, &mut pending)?;
                 }
             }
             Step::Parse(statement) if connection.prepared.contains(&statement.name) => {
-                pending.push_back(Pending::Ready(encoded(&Back::ParseComplete(
+                pending.push_back(Pending::Local(encode_backend(&Back::ParseComplete(
                     ParseComplete::new(),
                 ))?));
             }
-            Step::Parse(statement) => prepare(connection, statement, true, &mut pending)?,
+            Step::Parse(statement) => queue_parse(connection, statement, true, &mut pending)?,
             Step::Send { bytes, expect } => {
                 connection.channel.queue_bytes(bytes);
                 pending.push_back(Pending::Message(*expect));
             }
-            Step::Answer(bytes) => pending.push_back(Pending::Ready(bytes.clone())),
+            Step::Answer(bytes) => pending.push_back(Pending::Local(bytes.clone())),
         }
     }
     match close {
@@ -109,10 +112,10 @@
     Ok(pending)
 }
 
-fn prepare(
+fn queue_parse(
     connection: &mut Connection,
     statement: &Statement,
-    shown: bool,
+    visible: bool,
     pending: &mut VecDeque<Pending>,
 ) -> Result<(), ChannelError> {
     let parse = Parse::new(
@@ -122,11 +125,11 @@
     );
     connection.channel.queue_frontend(&Front::Parse(parse))?;
     let statement = statement.clone();
-    pending.push_back(Pending::Prepared { statement, shown });
+    pending.push_back(Pending::Parse { statement, visible });
     Ok(())
 }
 
-async fn collect(
+async fn collect_answer(
     connection: &mut Connection,
     mut pending: VecDeque<Pending>,
     close: Close,
@@ -138,7 +141,7 @@
         error: None,
     };
     loop {
-        emit_ready(&mut pending, &mut answer);
+        append_local(&mut pending, &mut answer);
         if close == Close::Flush && (pending.is_empty() || answer.error.is_some()) {
             return Ok(answer);
         }
@@ -165,9 +168,9 @@
                 pending.clear();
             }
             Back::ParseComplete(_) => {
-                if let Some(Pending::Prepared { statement, shown }) = pending.pop_front() {
+                if let Some(Pending::Parse { statement, visible }) = pending.pop_front() {
                     connection.prepared.insert(statement.name);
-                    if !shown {
+                    if !visible {
                         continue;
                     }
                 }
@@ -181,19 +184,21 @@
             _ => {}
         }
         message.encode(&mut answer.messages)?;
-        if answer.messages.len() > MOST_ANSWER {
+        if answer.messages.len() > MAX_ANSWER_BYTES {
             return Err(ChannelError::Unexpected("answer over 256 MiB".to_owned()));
         }
     }
 }
 
-fn emit_ready(pending: &mut VecDeque<Pending>, answer: &mut Answer) {
-    while let Some(Pending::Ready(bytes)) = pending.front() {
+/// Moves the box's own answers from the front of the queue into the answer.
+fn append_local(pending: &mut VecDeque<Pending>, answer: &mut Answer) {
+    while let Some(Pending::Local(bytes)) = pending.front() {
         answer.messages.extend_from_slice(bytes);
         pending.pop_front();
     }
 }
 
+/// Whether the message completes the answer at the front of the queue.
 fn completes(message: &Back, front: Option<&Pending>) -> bool {
     let Some(Pending::Message(expect)) = front else {
         return false;
@@ -210,8 +215,8 @@
     }
 }
 
-/// A member's message as bytes.
-pub fn encoded(message: &Back) -> Result<Bytes, ChannelError> {
+/// Encodes a server's message.
+pub fn encode_backend(message: &Back) -> Result<Bytes, ChannelError> {
     let mut bytes = BytesMut::new();
     message.encode(&mut bytes)?;
     Ok(bytes.freeze())
--- a/src/postgres/response.rs
+++ b/src/postgres/response.rs
@@ -1,18 +1,18 @@
-//! Errors and parameters as PostgreSQL messages.
+//! Builds the messages of a server: errors, parameters and readiness.
 
 use pgwire::messages::PgWireBackendMessage as Back;
 use pgwire::messages::response::{ErrorResponse, ReadyForQuery, TransactionStatus};
 use pgwire::messages::startup::ParameterStatus;
 
-/// What callers are told the server is.
+/// Server version reported to callers.
 pub const SERVER_VERSION: &str = "15.0 (larkfall)";
 
-/// Parameter in which a member reports the position its answers reach.
+/// Parameter in which a member reports the position that its answers include.
 pub const POSITION_PARAMETER: &str = "larkfall.position";
-/// Parameter in which a box hands the session's token to the caller.
+/// Parameter in which a box reports the session's token to the caller.
 pub const TOKEN_PARAMETER: &str = "larkfall.token";
 
-/// What callers are told at start-up besides the version.
+/// Parameters reported at start-up, besides the version.
 pub const SESSION_PARAMETERS: [(&str, &str); 6] = [
     ("server_encoding", "UTF8"),
     ("client_encoding", "UTF8"),
@@ -27,9 +27,9 @@
 pub struct SqlError {
     pub severity: &'static str,
     pub code: String,
-    pub to_message: String,
+    pub message: String,
     pub detail: Option<String>,
-    pub with_hint: Option<String>,
+    pub hint: Option<String>,
 }
 
 impl SqlError {
@@ -37,9 +37,9 @@
         Self {
             severity: "ERROR",
             code: code.to_owned(),
-            to_message: message.into(),
+            message: message.into(),
             detail: None,
-            with_hint: None,
+            hint: None,
         }
     }
 
@@ -51,24 +51,25 @@
     }
 
     pub fn with_hint(mut self, hint: impl Into<String>) -> Self {
-        self.with_hint = Some(hint.into());
+        self.hint = Some(hint.into());
         self
     }
 
+    /// Encodes the error as a message.
     pub fn to_message(&self) -> Back {
         let mut fields = vec![
             (b'S', self.severity.to_owned()),
             (b'V', self.severity.to_owned()),
             (b'C', self.code.clone()),
-            (b'M', self.to_message.clone()),
+            (b'M', self.message.clone()),
         ];
         fields.extend(self.detail.clone().map(|text| (b'D', text)));
-        fields.extend(self.with_hint.clone().map(|text| (b'H', text)));
+        fields.extend(self.hint.clone().map(|text| (b'H', text)));
         Back::ErrorResponse(ErrorResponse::new(fields))
     }
 }
 
-/// SQLSTATE of an error message, empty when it has none.
+/// Returns the SQLSTATE of an error message, empty if there is none.
 pub fn sqlstate(error: &ErrorResponse) -> &str {
     let code = error.fields.iter().find(|(kind, _)| *kind == b'C');
     code.map_or("", |(_, value)| value)
--- a/src/postgres/session.rs
+++ b/src/postgres/session.rs
@@ -1,4 +1,5 @@
-//! One caller's session: messages in, exchanges out, answers back.
+//! One caller's session: groups the caller's messages into exchanges, has the core run them
+//! and sends back the answers.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,7 +17,7 @@
 
 use super::channel::{Channel, ChannelError};
 use super::failure::{self, state};
-use super::relay::encoded;
+use super::relay::encode_backend;
 use super::response::{self, SqlError};
 use super::steps::{Close, Expect, Statement, Step, Steps};
 use crate::borders::upstream::Setup;
@@ -31,8 +32,8 @@
 use crate::node::owner::Owner;
 use crate::node::session as core;
 
-/// Settings that change nothing about a statement's meaning: taken, not passed on.
-const HARMLESS: [&str; 6] = [
+/// Parameters that may be set without effect: they don't change the meaning of statements.
+const IGNORED_PARAMETERS: [&str; 6] = [
     "application_name",
     "client_min_messages",
     "extra_float_digits",
@@ -40,50 +41,59 @@
     "datestyle",
     "timezone",
 ];
-const ONCE: &str = "larkfall.once";
-const KIND: &str = "larkfall.kind";
+/// Parameter that sets the key of the next write, which then runs at most once.
+const ONCE_PARAMETER: &str = "larkfall.once";
+/// Parameter that sets the declared kind of the session's reads.
+const KIND_PARAMETER: &str = "larkfall.kind";
+/// Object id of the type `text`.
 const TEXT_OID: u32 = 25;
 
 /// A prepared statement of the session.
 #[derive(Clone)]
-struct Named {
+struct Prepared {
     statement: Statement,
     class: Rc<Class>,
 }
 
-/// Messages gathered until the exchange is closed.
+/// Messages collected for the next exchange.
 #[derive(Default)]
 struct Batch {
     steps: Vec<Step>,
-    /// Decides where the exchange runs.
+    /// Joined class of the statements; decides where the exchange runs.
     class: Option<Rc<Class>>,
-    /// Something is executed that may change data.
+    /// Whether a statement other than a read or BEGIN is executed.
     writes: bool,
     executes: bool,
 }
 
 impl Batch {
-    fn join(&mut self, class: Rc<Class>) {
+    fn add_class(&mut self, class: Rc<Class>) {
         self.class = Some(match self.class.take() {
-            Some(before) if Rc::ptr_eq(&before, &class) => before,
-            Some(before) => Rc::new(Class::clone(&before).join(Class::clone(&class))),
+            Some(joined) if Rc::ptr_eq(&joined, &class) => joined,
+            Some(joined) => Rc::new(Class::clone(&joined).join(Class::clone(&class))),
             None => class,
         });
     }
 }
 
+/// A caller's connection and the state of its session.
 pub struct Session {
     context: Rc<Context>,
     core: core::Session,
     channel: Channel,
     group: Arc<str>,
-    statements: HashMap<String, Named>,
+    /// Prepared statements by the name that the caller gave them.
+    statements: HashMap<String, Prepared>,
+    /// Class of each portal's statement.
     portals: HashMap<String, Rc<Class>>,
     batch: Batch,
-    /// An error was sent; everything up to Sync is skipped.
+    /// Whether messages are skipped up to the next Sync, after an error was sent.
     skipping: bool,
-    once: Option<Arc<str>>,
-    kind: Option<Arc<str>>,
+    /// Key of the next write, set by `larkfall.once`.
+    next_key: Option<Arc<str>>,
+    /// Kind of the reads that have no hint, set by `larkfall.kind`.
+    default_kind: Option<Arc<str>>,
+    /// Notified when the caller cancels its statement.
     cancel: Rc<Notify>,
 }
 
@@ -105,8 +115,8 @@
             portals: HashMap::new(),
             batch: Batch::default(),
             skipping: false,
-            once: None,
-            kind: None,
+            next_key: None,
+            default_kind: None,
             cancel,
         }
     }
@@ -120,209 +130,217 @@
                 biased;
                 message = self.channel.read_frontend() => match message {
                     Err(error @ ChannelError::Malformed(_)) => {
-                        return self.hang_up(error).await;
+                        return self.send_protocol_error(error).await;
                     }
                     message => message?,
                 },
                 _ = leaving.wait_for(|leaving| *leaving), if idle => {
-                    return self.say_goodbye().await;
+                    return self.send_shutdown().await;
                 }
             };
             if let Front::Terminate(_) = message {
                 return Ok(());
             }
-            self.take(message).await?;
+            self.handle_message(message).await?;
         }
     }
 
-    /// Tells a caller that broke the protocol why it is cut off.
-    async fn hang_up(&mut self, error: ChannelError) -> Result<(), ChannelError> {
-        let report = SqlError::fatal("08P01", error.to_string());
-        self.channel.queue_backend(&report.to_message())?;
+    /// Reports a malformed message to the caller, before the connection is closed.
+    async fn send_protocol_error(&mut self, error: ChannelError) -> Result<(), ChannelError> {
+        let fatal = SqlError::fatal("08P01", error.to_string());
+        self.channel.queue_backend(&fatal.to_message())?;
         self.channel.flush().await?;
         Err(error)
     }
 
-    async fn say_goodbye(&mut self) -> Result<(), ChannelError> {
-        let report = SqlError::fatal("57P01", "this box is leaving; connect again");
-        self.channel.queue_backend(&report.to_message())?;
+    /// Tells the caller that the box is shutting down.
+    async fn send_shutdown(&mut self) -> Result<(), ChannelError> {
+        let error = SqlError::fatal("57P01", "this box is leaving; connect again");
+        self.channel.queue_backend(&error.to_message())?;
         self.channel.flush().await
     }
 
-    async fn take(&mut self, message: Front) -> Result<(), ChannelError> {
+    async fn handle_message(&mut self, message: Front) -> Result<(), ChannelError> {
         match message {
-            Front::Query(query) => self.simple(query.query).await,
-            Front::Sync(_) => self.sync().await,
-            Front::Flush(_) if !self.skipping => self.close(Close::Flush).await,
+            Front::Query(query) => self.handle_query(query.query).await,
+            Front::Sync(_) => self.handle_sync().await,
+            Front::Flush(_) if !self.skipping => self.run_exchange(Close::Flush).await,
             _ if self.skipping => Ok(()),
-            Front::Parse(parse) => self.parse(parse),
-            Front::Bind(bind) => self.bind(bind).await,
-            Front::Describe(describe) => self.describe(describe).await,
+            Front::Parse(parse) => self.handle_parse(parse),
+            Front::Bind(bind) => self.handle_bind(bind).await,
+            Front::Describe(describe) => self.handle_describe(describe).await,
             Front::Execute(execute) => {
                 let name = execute.name.clone().unwrap_or_default();
                 if let Some(class) = self.portals.get(&name) {
-                    let read = matches!(class.kind, Kind::Read | Kind::Begin | Kind::BeginRead);
-                    self.batch.writes |= !read;
+                    let reads_only =
+                        matches!(class.kind, Kind::Read | Kind::Begin | Kind::BeginRead);
+                    self.batch.writes |= !reads_only;
                     let class = class.clone();
-                    self.batch.join(class);
+                    self.batch.add_class(class);
                 }
                 self.batch.executes = true;
-                self.push(&Front::Execute(execute), Expect::Execute)
+                self.push_message(&Front::Execute(execute), Expect::Execute)
             }
             Front::Close(close) => {
                 let name = close.name.clone().unwrap_or_default();
                 if close.target_type == b'P' {
                     self.portals.remove(&name);
-                    return self.push(&Front::Close(close), Expect::Close);
+                    return self.push_message(&Front::Close(close), Expect::Close);
                 }
                 self.statements.remove(&name);
-                let complete = encoded(&Back::CloseComplete(CloseComplete::new()))?;
+                let complete = encode_backend(&Back::CloseComplete(CloseComplete::new()))?;
                 self.batch.steps.push(Step::Answer(complete));
                 Ok(())
             }
             _ => {
-                let report = SqlError::error(state::UNSUPPORTED, "this message is not supported");
-                self.fail(&report, None).await
+                let error = SqlError::error(state::UNSUPPORTED, "this message is not supported");
+                self.send_error(&error, None).await
             }
         }
     }
 
     // Extended protocol.
 
-    fn push(&mut self, message: &Front, expect: Expect) -> Result<(), ChannelError> {
-        let bytes = front_bytes(message)?;
+    fn push_message(&mut self, message: &Front, expect: Expect) -> Result<(), ChannelError> {
+        let bytes = encode_frontend(message)?;
         self.batch.steps.push(Step::Send { bytes, expect });
         Ok(())
     }
 
-    fn parse(&mut self, parse: Parse) -> Result<(), ChannelError> {
+    fn handle_parse(&mut self, parse: Parse) -> Result<(), ChannelError> {
         let class = self.context.classes.of(&parse.query);
         let statement = shared_statement(&parse.query, parse.type_oids);
-        let named = Named {
+        let prepared = Prepared {
             statement: statement.clone(),
             class: class.clone(),
         };
-        self.batch.join(class);
+        self.batch.add_class(class);
         self.statements
-            .insert(parse.name.unwrap_or_default(), named);
+            .insert(parse.name.unwrap_or_default(), prepared);
         self.batch.steps.push(Step::Parse(statement));
         Ok(())
     }
 
-    /// Has a statement of this session prepared wherever the exchange runs.
-    async fn ensure(&mut self, name: &str) -> Result<Option<Named>, ChannelError> {
-        let Some(named) = self.statements.get(name).cloned() else {
+    /// Adds a step that prepares one of the session's statements on the connection that the
+    /// exchange will use. Reports an unknown name to the caller and returns none.
+    async fn add_prepared(&mut self, name: &str) -> Result<Option<Prepared>, ChannelError> {
+        let Some(prepared) = self.statements.get(name).cloned() else {
             let message = format!("prepared statement {name:?} does not exist");
-            self.fail(&SqlError::error("26000", message), None).await?;
+            self.send_error(&SqlError::error("26000", message), None)
+                .await?;
             return Ok(None);
         };
-        self.batch.join(named.class.clone());
-        self.batch.steps.push(Step::Ensure(named.statement.clone()));
-        Ok(Some(named))
+        self.batch.add_class(prepared.class.clone());
+        self.batch
+            .steps
+            .push(Step::Ensure(prepared.statement.clone()));
+        Ok(Some(prepared))
     }
 
-    async fn bind(&mut self, mut bind: Bind) -> Result<(), ChannelError> {
+    async fn handle_bind(&mut self, mut bind: Bind) -> Result<(), ChannelError> {
         let name = bind.statement_name.take().unwrap_or_default();
-        let Some(named) = self.ensure(&name).await? else {
+        let Some(prepared) = self.add_prepared(&name).await? else {
             return Ok(());
         };
         let portal = bind.portal_name.clone().unwrap_or_default();
-        self.portals.insert(portal, named.class);
-        bind.statement_name = Some(named.statement.name.to_string());
-        self.push(&Front::Bind(bind), Expect::Bind)
+        self.portals.insert(portal, prepared.class);
+        bind.statement_name = Some(prepared.statement.name.to_string());
+        self.push_message(&Front::Bind(bind), Expect::Bind)
     }
 
-    async fn describe(&mut self, mut describe: Describe) -> Result<(), ChannelError> {
+    async fn handle_describe(&mut self, mut describe: Describe) -> Result<(), ChannelError> {
         if describe.target_type == b'S' {
             let name = describe.name.take().unwrap_or_default();
-            let Some(named) = self.ensure(&name).await? else {
+            let Some(prepared) = self.add_prepared(&name).await? else {
                 return Ok(());
             };
-            describe.name = Some(named.statement.name.to_string());
+            describe.name = Some(prepared.statement.name.to_string());
         }
-        self.push(&Front::Describe(describe), Expect::Describe)
+        self.push_message(&Front::Describe(describe), Expect::Describe)
     }
 
-    async fn sync(&mut self) -> Result<(), ChannelError> {
+    async fn handle_sync(&mut self) -> Result<(), ChannelError> {
         if self.skipping {
             self.skipping = false;
             self.batch = Batch::default();
             if !self.core.is_holding() {
-                return self.ready().await;
+                return self.send_ready().await;
             }
         }
         if self.batch.steps.is_empty() && !self.core.is_holding() {
-            return self.ready().await;
+            return self.send_ready().await;
         }
-        self.close(Close::Sync).await
+        self.run_exchange(Close::Sync).await
     }
 
     // Simple protocol.
 
-    async fn simple(&mut self, sql: String) -> Result<(), ChannelError> {
+    async fn handle_query(&mut self, sql: String) -> Result<(), ChannelError> {
         let class = self.context.classes.of(&sql);
         if self.core.status == Status::Idle && class.kind == Kind::Session {
-            return self.command(&class.command).await;
+            return self.run_command(&class.command).await;
         }
         if sql.trim().is_empty() {
             let empty = Back::EmptyQueryResponse(EmptyQueryResponse::new());
             self.channel.queue_backend(&empty)?;
-            return self.ready().await;
+            return self.send_ready().await;
         }
-        let read = matches!(class.kind, Kind::Read | Kind::Begin | Kind::BeginRead);
+        let reads_only = matches!(class.kind, Kind::Read | Kind::Begin | Kind::BeginRead);
         self.batch = Batch {
-            writes: !read,
+            writes: !reads_only,
             executes: true,
             class: Some(class),
             steps: Vec::new(),
         };
         let query = Front::Query(pgwire::messages::simplequery::Query::new(sql));
-        self.push(&query, Expect::Whole)?;
-        self.close(Close::Query).await
+        self.push_message(&query, Expect::Whole)?;
+        self.run_exchange(Close::Query).await
     }
 
-    /// Answers what concerns the session and no database.
-    async fn command(&mut self, command: &Command) -> Result<(), ChannelError> {
-        let query = Some(Close::Query);
+    /// Answers a statement that the box handles itself, without a member.
+    async fn run_command(&mut self, command: &Command) -> Result<(), ChannelError> {
+        let close = Some(Close::Query);
         let tag = match command {
-            Command::Set { name, value } => match self.set(name, value) {
+            Command::Set { name, value } => match self.set_parameter(name, value) {
                 Ok(()) => "SET",
-                Err(report) => return self.fail(&report, query).await,
+                Err(error) => return self.send_error(&error, close).await,
             },
-            Command::Show { name } => match self.show(name) {
+            Command::Show { name } => match self.parameter(name) {
                 Some(value) => {
-                    self.one_row(name, &value)?;
+                    self.queue_row(name, &value)?;
                     "SHOW"
                 }
                 None => {
                     let message = format!("unrecognized configuration parameter {name:?}");
-                    return self.fail(&SqlError::error("42704", message), query).await;
+                    return self
+                        .send_error(&SqlError::error("42704", message), close)
+                        .await;
                 }
             },
             Command::Reset => "RESET",
-            Command::Refuse { what } => return self.fail(&unsupported(what), query).await,
+            Command::Refuse { what } => return self.send_error(&unsupported(what), close).await,
             Command::None => {
                 let message = "this setting is not supported on pooled connections";
-                let report = SqlError::error(state::UNSUPPORTED, message);
-                return self.fail(&report, query).await;
+                let error = SqlError::error(state::UNSUPPORTED, message);
+                return self.send_error(&error, close).await;
             }
         };
         let complete = CommandComplete::new(tag.to_owned());
         self.channel
             .queue_backend(&Back::CommandComplete(complete))?;
-        self.ready().await
+        self.send_ready().await
     }
 
-    fn set(&mut self, name: &str, value: &str) -> Result<(), SqlError> {
-        let some = || (!value.is_empty()).then(|| Arc::from(value));
+    fn set_parameter(&mut self, name: &str, value: &str) -> Result<(), SqlError> {
+        let non_empty = || (!value.is_empty()).then(|| Arc::from(value));
         match name {
-            ONCE => self.once = some(),
-            KIND => self.kind = some(),
+            ONCE_PARAMETER => self.next_key = non_empty(),
+            KIND_PARAMETER => self.default_kind = non_empty(),
             response::TOKEN_PARAMETER => match value.parse::<Position>() {
                 Ok(position) => self.core.floors.raise(position),
                 Err(error) => return Err(SqlError::error("22023", error.to_string())),
             },
-            name if HARMLESS.contains(&name) => {}
+            name if IGNORED_PARAMETERS.contains(&name) => {}
             name => {
                 let message = format!("setting {name:?} is not supported on pooled connections");
                 return Err(SqlError::error(state::UNSUPPORTED, message));
@@ -331,7 +349,8 @@
         Ok(())
     }
 
-    fn show(&self, name: &str) -> Option<String> {
+    /// Returns the value of a parameter that SHOW supports.
+    fn parameter(&self, name: &str) -> Option<String> {
         match name {
             response::TOKEN_PARAMETER => Some(
                 self.core
@@ -346,7 +365,8 @@
         }
     }
 
-    fn one_row(&mut self, name: &str, value: &str) -> Result<(), ChannelError> {
+    /// Queues a result of one row with one text column.
+    fn queue_row(&mut self, name: &str, value: &str) -> Result<(), ChannelError> {
         let field = FieldDescription::new(name.to_owned(), 0, 0, TEXT_OID, -1, -1, 0);
         let description = RowDescription::new(vec![field]);
         self.channel
@@ -360,14 +380,15 @@
 
     // Exchanges.
 
-    async fn close(&mut self, close: Close) -> Result<(), ChannelError> {
+    /// Runs the collected messages as one exchange and sends the answer.
+    async fn run_exchange(&mut self, close: Close) -> Result<(), ChannelError> {
         let batch = std::mem::take(&mut self.batch);
         if self.core.lost {
-            return self.refuse_lost(&batch, close).await;
+            return self.run_in_lost_transaction(&batch, close).await;
         }
-        let (exchange, scope) = match self.exchange(batch, close) {
-            Ok(ready) => ready,
-            Err(report) => return self.fail(&report, Some(close)).await,
+        let (exchange, scope) = match self.build_exchange(batch, close) {
+            Ok(built) => built,
+            Err(error) => return self.send_error(&error, Some(close)).await,
         };
         let cancel = self.cancel.clone();
         let reads = exchange.effect == Effect::Reads;
@@ -378,16 +399,23 @@
             () = cancel.notified(), if reads => None,
         };
         match served {
-            Some(Ok(reply)) => self.answer(reply, close, token).await,
-            Some(Err(failure)) => self.fail(&failure::to_error(&failure), Some(close)).await,
+            Some(Ok(reply)) => self.send_reply(reply, close, token).await,
+            Some(Err(failure)) => {
+                self.send_error(&failure::to_error(&failure), Some(close))
+                    .await
+            }
             None => {
-                let failure = SqlError::error("57014", "canceling statement due to user request");
-                self.fail(&failure, Some(close)).await
+                let error = SqlError::error("57014", "canceling statement due to user request");
+                self.send_error(&error, Some(close)).await
             }
         }
     }
 
-    fn exchange(&mut self, batch: Batch, close: Close) -> Result<(Exchange, Scope), SqlError> {
+    fn build_exchange(
+        &mut self,
+        batch: Batch,
+        close: Close,
+    ) -> Result<(Exchange, Scope), SqlError> {
         let snapshot = self.context.snapshot.borrow().clone();
         let plan = snapshot
             .groups
@@ -401,13 +429,13 @@
             true => Effect::Writes,
             false => Effect::Reads,
         };
-        let once = self.once_key(plan, &class, effect)?;
-        let kind = self.read_kind(plan, &class);
-        let apart = kind.filter(|kind| kind.own_writes == OwnWrites::Tables);
+        let once = self.request_key(plan, &class, effect)?;
+        let kind = self.declared_read(plan, &class);
+        let separate = kind.filter(|kind| kind.own_writes == OwnWrites::Tables);
         let covered = |kind: &&Read| class.tables.iter().all(|t| kind.tables.contains(t));
         let scope = Scope {
             declared: kind.map(|kind| kind.name.clone()),
-            kind: apart.filter(covered).map(|kind| kind.name.clone()),
+            kind: separate.filter(covered).map(|kind| kind.name.clone()),
             tables: class.tables.clone(),
             ends: class.kind == Kind::End,
         };
@@ -430,27 +458,29 @@
                 steps: batch.steps,
                 close,
             }
-            .payload(),
+            .to_payload(),
             once,
         };
         Ok((exchange, scope))
     }
 
-    /// The declared kind of a read: by hint, by setting, or by its tables.
-    fn read_kind<'a>(&self, plan: &'a Plan, class: &Class) -> Option<&'a Read> {
-        let named = class.read.as_ref().or(self.kind.as_ref());
+    /// Returns the declared kind of a read: by hint, by `larkfall.kind`, or the first kind
+    /// that covers all of its tables.
+    fn declared_read<'a>(&self, plan: &'a Plan, class: &Class) -> Option<&'a Read> {
+        let named = class.read.as_ref().or(self.default_kind.as_ref());
         let by_name = named.and_then(|name| plan.reads.iter().find(|read| read.name == *name));
         let by_tables = || {
-            let all = |read: &&Read| {
+            let covers = |read: &&Read| {
                 !class.tables.is_empty() && class.tables.iter().all(|t| read.tables.contains(t))
             };
-            plan.reads.iter().find(all)
+            plan.reads.iter().find(covers)
         };
         by_name.or_else(by_tables)
     }
 
-    /// The key of a request that must not be repeated, if it is one.
-    fn once_key(
+    /// Returns the key under which a write runs at most once, from its hint or `larkfall.once`.
+    /// Fails for a write that needs a key and has none, or has one inside a transaction.
+    fn request_key(
         &mut self,
         plan: &Plan,
         class: &Class,
@@ -459,14 +489,14 @@
         if effect != Effect::Writes || class.kind != Kind::Write {
             return Ok(None);
         }
-        let key = class.once.clone().or_else(|| self.once.take());
-        let ruled = plan
+        let key = class.once.clone().or_else(|| self.next_key.take());
+        let rule = plan
             .onces
             .iter()
-            .find(|once| class.tables.contains(&once.table));
-        match (key, ruled) {
-            (None, Some(once)) => {
-                let table = &once.table;
+            .find(|rule| class.tables.contains(&rule.table));
+        match (key, rule) {
+            (None, Some(rule)) => {
+                let table = &rule.table;
                 let message =
                     format!("writes to {table} need a key, so that they run at most once");
                 let hint = "send /* larkfall: once=KEY */ or SET larkfall.once = 'KEY' before it";
@@ -480,16 +510,20 @@
         }
     }
 
-    /// Passes an answer on, with the session's token when it is not `before` any more.
-    async fn answer(
+    /// Sends an answer, with the session's token if it differs from `token_before`.
+    async fn send_reply(
         &mut self,
         reply: Reply,
         close: Close,
-        before: Option<Position>,
+        token_before: Option<Position>,
     ) -> Result<(), ChannelError> {
         self.channel.queue_bytes(&reply.messages);
-        let after = self.core.floors.token().filter(|t| Some(*t) != before);
-        if let Some(position) = after {
+        let changed = self
+            .core
+            .floors
+            .token()
+            .filter(|t| Some(*t) != token_before);
+        if let Some(position) = changed {
             let token = response::parameter_status(response::TOKEN_PARAMETER, position.token());
             self.channel.queue_backend(&token)?;
         }
@@ -500,26 +534,31 @@
         if self.core.status == Status::Idle {
             self.portals.clear();
         }
-        self.ready().await
+        self.send_ready().await
     }
 
-    /// In a transaction that is gone, only its end is taken.
-    async fn refuse_lost(&mut self, batch: &Batch, close: Close) -> Result<(), ChannelError> {
-        let ends = batch.class.as_ref().is_some_and(|c| c.kind == Kind::End);
-        if !ends {
+    /// Answers a batch after the transaction was lost: only a statement that ends the
+    /// transaction succeeds.
+    async fn run_in_lost_transaction(
+        &mut self,
+        batch: &Batch,
+        close: Close,
+    ) -> Result<(), ChannelError> {
+        let ends_transaction = batch.class.as_ref().is_some_and(|c| c.kind == Kind::End);
+        if !ends_transaction {
             let message = "the transaction is gone; end it and begin anew";
             return self
-                .fail(&SqlError::error("25P02", message), Some(close))
+                .send_error(&SqlError::error("25P02", message), Some(close))
                 .await;
         }
         self.core.end_lost();
-        let bytes = self.ended_answer(batch)?;
+        let bytes = self.rollback_answer(batch)?;
         self.channel.queue_bytes(&bytes);
-        self.ready().await
+        self.send_ready().await
     }
 
-    /// What a ROLLBACK would answer to the same messages.
-    fn ended_answer(&self, batch: &Batch) -> Result<Bytes, ChannelError> {
+    /// Encodes the answer that a member would give to the batch's messages for a ROLLBACK.
+    fn rollback_answer(&self, batch: &Batch) -> Result<Bytes, ChannelError> {
         use pgwire::messages::data::NoData;
         use pgwire::messages::extendedquery::{BindComplete, ParseComplete};
         let mut bytes = BytesMut::new();
@@ -545,14 +584,19 @@
         Ok(bytes.freeze())
     }
 
-    /// Reports an error of this box's own. Before a Sync, everything up to it is
-    /// skipped; an open transaction is given up, as a database would.
-    async fn fail(&mut self, report: &SqlError, close: Option<Close>) -> Result<(), ChannelError> {
+    /// Sends an error that the box itself reports and fails an open transaction, as a database
+    /// would. Unless the exchange ended with a query or a Sync, messages up to the next Sync
+    /// are skipped.
+    async fn send_error(
+        &mut self,
+        error: &SqlError,
+        close: Option<Close>,
+    ) -> Result<(), ChannelError> {
         self.batch = Batch::default();
         self.core.give_up();
-        self.channel.queue_backend(&report.to_message())?;
+        self.channel.queue_backend(&error.to_message())?;
         match close {
-            Some(Close::Query | Close::Sync) => self.ready().await,
+            Some(Close::Query | Close::Sync) => self.send_ready().await,
             Some(Close::Flush) | None => {
                 self.skipping = true;
                 self.channel.flush().await
@@ -560,7 +604,8 @@
         }
     }
 
-    async fn ready(&mut self) -> Result<(), ChannelError> {
+    /// Sends ReadyForQuery with the state of the transaction.
+    async fn send_ready(&mut self) -> Result<(), ChannelError> {
         let status = match self.core.status {
             Status::Idle => TransactionStatus::Idle,
             Status::Transaction => TransactionStatus::Transaction,
@@ -572,7 +617,8 @@
     }
 }
 
-/// Where an exchange may run.
+/// Returns the members that an exchange may run on. Without a tolerated age, a read must see
+/// the latest data.
 fn target(plan: &Plan, class: &Class, kind: Option<&Read>) -> Target {
     if !matches!(class.kind, Kind::Read | Kind::BeginRead) {
         return Target::Primary;
@@ -590,13 +636,14 @@
     SqlError::error(state::UNSUPPORTED, message)
 }
 
-/// A statement under a name that depends only on what it is.
+/// Returns a statement whose name is a hash of its SQL and parameter types, so that sessions
+/// and boxes share its preparation on pooled connections.
 fn shared_statement(sql: &str, types: Vec<u32>) -> Statement {
-    let mut seed = sql.as_bytes().to_vec();
+    let mut content = sql.as_bytes().to_vec();
     for oid in &types {
-        seed.extend_from_slice(&oid.to_be_bytes());
+        content.extend_from_slice(&oid.to_be_bytes());
     }
-    let name = format!("lf_{:032x}", xxh3_128(&seed));
+    let name = format!("lf_{:032x}", xxh3_128(&content));
     Statement {
         name: name.into(),
         sql: sql.into(),
@@ -604,7 +651,7 @@
     }
 }
 
-fn front_bytes(message: &Front) -> Result<Bytes, ChannelError> {
+fn encode_frontend(message: &Front) -> Result<Bytes, ChannelError> {
     let mut bytes = BytesMut::new();
     message.encode(&mut bytes)?;
     Ok(bytes.freeze())
--- a/src/postgres/steps.rs
+++ b/src/postgres/steps.rs
@@ -1,20 +1,21 @@
-//! What an exchange with a member consists of: the messages up to a Sync, a Flush
-//! or the end of a simple query. The core carries it as an opaque payload.
+//! The messages of one exchange with a member, up to a Sync, a Flush or the end of a simple
+//! query. The core carries them between boxes as an opaque payload.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// A prepared statement under the name that all boxes give it.
+/// A prepared statement, under a name derived from its content so that all boxes agree on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Statement {
     pub name: Arc<str>,
     pub sql: Arc<str>,
+    /// Object ids of the parameter types.
     pub types: Vec<u32>,
 }
 
-/// What ends the answer to one message.
+/// The message whose answer is awaited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Expect {
     Parse,
@@ -22,24 +23,24 @@
     Describe,
     Execute,
     Close,
-    /// Answered as part of the whole.
+    /// A simple query; its answer ends with the exchange.
     Whole,
 }
 
-/// One thing to do on a member's connection.
+/// One action of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Step {
-    /// Prepare, without telling the caller.
+    /// Prepares the statement if needed; the caller gets no answer to this.
     Ensure(Statement),
-    /// Prepare, and tell the caller.
+    /// Prepares the statement if needed and confirms it to the caller.
     Parse(Statement),
-    /// Send this message.
+    /// Sends an encoded message.
     Send { bytes: Bytes, expect: Expect },
-    /// Put this into the answer at this place.
+    /// Adds an encoded answer of the box itself at this place.
     Answer(Bytes),
 }
 
-/// What closes an exchange.
+/// What ends an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Close {
     Query,
@@ -55,12 +56,13 @@
 }
 
 impl Steps {
-    /// As the core carries it.
-    pub fn payload(&self) -> Bytes {
-        let bytes = rmp_serde::to_vec(self).expect("steps are plain data");
+    /// Encodes the steps as the payload of an exchange.
+    pub fn to_payload(&self) -> Bytes {
+        let bytes = rmp_serde::to_vec(self).expect("steps can be serialized");
         bytes.into()
     }
 
+    /// Decodes the payload of an exchange.
     pub fn from_payload(payload: &[u8]) -> Result<Self, rmp_serde::decode::Error> {
         rmp_serde::from_slice(payload)
     }
