--- a/tests/system/clients.rs
+++ b/tests/system/clients.rs
@@ -1,4 +1,4 @@
-//! Ordinary clients work unchanged.
+//! Standard PostgreSQL clients: prepared statements, transactions and error codes.
 
 use googletest::prelude::*;
 use larkfall::trial::cluster::Shape;
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn tokio_postgres_prepares_binds_and_reads_binary() {
+fn tokio_postgres_runs_prepared_statements_with_binary_values() {
     with_cluster(Shape::default(), async |cluster| {
         let mut client = connect(cluster.sql_address(0)).await;
         let create =
@@ -33,10 +33,10 @@
             .await;
         let insert = insert.expect("prepares");
         for id in 0..5i64 {
-            let row = client
+            let inserted = client
                 .execute(&insert, &[&id, &"maize", &(id % 2 == 0), &1.5f64])
                 .await;
-            expect_that!(row.expect("inserts"), eq(1));
+            expect_that!(inserted.expect("inserts"), eq(1));
         }
         let select = client
             .prepare("SELECT id, name, ripe, kg FROM crop WHERE id = $1")
@@ -53,10 +53,10 @@
             expect_that!(row.get::<_, f64>(3), eq(1.5));
         }
         let transaction = client.transaction().await.expect("begins");
-        let moved = transaction
+        let updated = transaction
             .execute("UPDATE crop SET kg = 2 WHERE id = 1", &[])
             .await;
-        expect_that!(moved.expect("updates"), eq(1));
+        expect_that!(updated.expect("updates"), eq(1));
         transaction.rollback().await.expect("rolls back");
         let row = client.query_one(&select, &[&1i64]).await.expect("reads");
         expect_that!(row.get::<_, f64>(3), eq(1.5));
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn errors_carry_their_sqlstate_and_the_session_goes_on() {
+fn errors_have_their_sqlstate_and_the_session_stays_usable() {
     with_cluster(Shape::default(), async |cluster| {
         let mut client = cluster.connect(0, "market", None).await.expect("connects");
         for (sql, code) in [
@@ -78,18 +78,22 @@
             let error = client.query(sql).await.expect_err(sql);
             expect_that!(error.code(), eq(code), "{sql}");
         }
-        let answer = client.query("SELECT 7").await.expect("goes on");
+        let answer = client
+            .query("SELECT 7")
+            .await
+            .expect("the session stays usable");
         expect_that!(answer.number(), some(eq(7)));
     });
 }
 
 #[gtest]
-fn wrong_partners_and_groups_are_refused() {
+fn undeclared_partners_and_groups_are_refused() {
     with_cluster(Shape::default(), async |cluster| {
-        let error = cluster.connect(0, "field", None).await.err();
-        expect_that!(error.expect("refused").code(), eq("3D000"));
-        let at = cluster.sql_address(0);
-        let other = larkfall::trial::client::Client::connect(at, "nobody", "market", None).await;
-        expect_that!(other.err().expect("refused").code(), eq("28000"));
+        let unknown_group = cluster.connect(0, "field", None).await.err();
+        expect_that!(unknown_group.expect("refused").code(), eq("3D000"));
+        let address = cluster.sql_address(0);
+        let unknown_partner =
+            larkfall::trial::client::Client::connect(address, "nobody", "market", None).await;
+        expect_that!(unknown_partner.err().expect("refused").code(), eq("28000"));
     });
 }
--- a/tests/system/failover.rs
+++ b/tests/system/failover.rs
@@ -1,12 +1,12 @@
-//! Two boxes, one group of three members: sessions, and a primary that dies.
+//! Sessions that move between boxes, and the loss of a primary or a box.
 
 use googletest::prelude::*;
 use larkfall::trial::cluster::{Shape, until};
 
-use super::support::{acknowledged, is_clean, start_load, with_cluster};
+use super::support::{expect_clean, start_load, wait_for_acks, with_cluster};
 
 #[gtest]
-fn a_write_by_one_box_is_read_by_the_other_in_the_same_session() {
+fn a_session_reads_its_own_writes_through_another_box() {
     with_cluster(Shape::default(), async |cluster| {
         let mut first = cluster.connect(0, "market", None).await.expect("connects");
         first
@@ -20,17 +20,17 @@
             let mut second = cluster
                 .connect(1, "market", token.as_deref())
                 .await
-                .expect("roams");
+                .expect("connects with the token");
             let answer = second
                 .query("SELECT count(*) FROM seed")
                 .await
                 .expect("reads");
             expect_that!(answer.number(), some(eq(id + 1)));
-            let mut bare = cluster
+            let mut without_token = cluster
                 .connect(1, "market", None)
                 .await
-                .expect("roams without token");
-            let answer = bare
+                .expect("connects without a token");
+            let answer = without_token
                 .query("SELECT count(*) FROM seed")
                 .await
                 .expect("reads");
@@ -44,13 +44,13 @@
 }
 
 #[gtest]
-fn a_killed_primary_is_replaced_and_nothing_is_lost_or_doubled() {
+fn a_killed_primary_is_replaced_without_lost_or_repeated_writes() {
     with_cluster(Shape::default(), async |cluster| {
         let workload = start_load(cluster, "market").await;
-        acknowledged(&workload, 50).await;
+        wait_for_acks(&workload, 50).await;
         cluster.members[0][0].running.kill();
-        acknowledged(&workload, 50).await;
-        is_clean(workload).await;
+        wait_for_acks(&workload, 50).await;
+        expect_clean(workload).await;
         expect_that!(cluster.primary(0).await, some(not(eq(0))));
     });
 }
@@ -59,23 +59,23 @@
 fn a_frozen_primary_is_replaced_and_comes_back_as_a_replica() {
     with_cluster(Shape::default(), async |cluster| {
         let workload = start_load(cluster, "market").await;
-        acknowledged(&workload, 50).await;
+        wait_for_acks(&workload, 50).await;
         cluster.members[0][0].running.freeze(true);
-        acknowledged(&workload, 50).await;
+        wait_for_acks(&workload, 50).await;
         cluster.members[0][0].running.freeze(false);
-        acknowledged(&workload, 50).await;
-        is_clean(workload).await;
-        until("the old primary follows", async || {
+        wait_for_acks(&workload, 50).await;
+        expect_clean(workload).await;
+        until("the old primary is a replica", async || {
             let dump = cluster.dump(0).await.unwrap_or_default();
             dump["groups"][0]["members"][0]["role"] == "Replica"
         })
         .await
-        .expect("the old primary follows");
+        .expect("the old primary is a replica");
     });
 }
 
 #[gtest]
-fn a_box_that_dies_in_a_transaction_leaves_nothing_of_it() {
+fn an_open_transaction_is_rolled_back_when_its_box_dies() {
     with_cluster(Shape::default(), async |cluster| {
         let mut client = cluster.connect(1, "market", None).await.expect("connects");
         client
@@ -88,14 +88,14 @@
             .await
             .expect("writes");
         cluster.boxes[1].running.kill();
-        let mut other = cluster.connect(0, "market", None).await.expect("connects");
+        let mut reader = cluster.connect(0, "market", None).await.expect("connects");
         until("the transaction's lock is free", async || {
             let mut probe = cluster.connect(0, "market", None).await.expect("connects");
             probe.query("INSERT INTO coin VALUES (2)").await.is_ok()
         })
         .await
         .expect("the lock is freed");
-        let answer = other.query("SELECT count(*) FROM coin WHERE id = 1").await;
+        let answer = reader.query("SELECT count(*) FROM coin WHERE id = 1").await;
         expect_that!(answer.expect("reads").number(), some(eq(0)));
     });
 }
--- a/tests/system/hostile.rs
+++ b/tests/system/hostile.rs
@@ -1,4 +1,4 @@
-//! Bad input and bad members: clear errors, nothing lost, no box that dies.
+//! Malformed input and faulty members: callers get errors, nothing is lost and boxes keep serving.
 
 use googletest::prelude::*;
 use larkfall::standin::faults::Faults;
@@ -10,14 +10,15 @@
 
 use super::support::with_cluster;
 
-async fn is_alive(cluster: &Cluster) {
+/// Expects that the first box answers a query.
+async fn expect_serving(cluster: &Cluster) {
     let mut client = cluster.connect(0, "market", None).await.expect("connects");
     let answer = client.query("SELECT 7").await.expect("answers");
     expect_that!(answer.number(), some(eq(7)));
 }
 
-/// A connection on which a session is open, for raw bytes.
-async fn raw(cluster: &Cluster) -> TcpStream {
+/// Opens a session and returns its socket, for sending raw bytes.
+async fn open_raw_session(cluster: &Cluster) -> TcpStream {
     let mut stream = TcpStream::connect(cluster.sql_address(0))
         .await
         .expect("connects");
@@ -30,18 +31,18 @@
         .await
         .expect("writes");
     stream.write_all(&startup).await.expect("writes");
-    let mut seen = Vec::new();
-    while !seen.ends_with(b"Z\0\0\0\x05I") {
+    let mut received = Vec::new();
+    while !received.ends_with(b"Z\0\0\0\x05I") {
         let mut bytes = [0; 256];
         let count = stream.read(&mut bytes).await.expect("reads");
-        assert!(count > 0, "the box hung up during start-up");
-        seen.extend_from_slice(&bytes[..count]);
+        assert!(count > 0, "the box closed the connection during start-up");
+        received.extend_from_slice(&bytes[..count]);
     }
     stream
 }
 
 #[gtest]
-fn a_forged_token_is_as_good_as_none() {
+fn a_forged_token_does_not_affect_reads() {
     with_cluster(Shape::default(), async |cluster| {
         let mut client = cluster.connect(0, "market", None).await.expect("connects");
         client
@@ -64,18 +65,18 @@
                 .await
                 .expect("connects");
             let read = async || {
-                let mut again = cluster.connect(1, "market", Some(token)).await.ok();
-                let answer = again
+                let mut client = cluster.connect(1, "market", Some(token)).await.ok();
+                let answer = client
                     .as_mut()?
                     .query("SELECT count(*) FROM seed")
                     .await
                     .ok();
                 answer?.number()
             };
-            // v1.0.0 is a possible floor: it asks for nothing, and is given time.
-            until("the row is seen", async || read().await == Some(1))
+            // v1.0.0 is a valid floor that any replica meets, so the row may be seen late.
+            until("the row is read", async || read().await == Some(1))
                 .await
-                .expect("is seen");
+                .expect("the row is read");
             let answer = roaming.query("SELECT count(*) FROM seed").await;
             expect_that!(answer.expect("reads").number(), some(eq(1)), "{token}");
             let token = roaming.token.expect("a token is reported");
@@ -85,9 +86,9 @@
 }
 
 #[gtest]
-fn an_oversized_message_is_refused_and_a_truncated_one_harms_nobody() {
+fn oversized_and_truncated_messages_only_end_their_own_connection() {
     with_cluster(Shape::default(), async |cluster| {
-        let mut stream = raw(cluster).await;
+        let mut stream = open_raw_session(cluster).await;
         stream
             .write_all(b"Q\x7f\xff\xff\xff")
             .await
@@ -96,13 +97,13 @@
         stream
             .read_to_end(&mut answer)
             .await
-            .expect("the box closes in good order");
+            .expect("the box closes the connection cleanly");
         let text = String::from_utf8_lossy(&answer).into_owned();
         expect_that!(
             text,
             all![contains_substring("FATAL"), contains_substring("08P01")]
         );
-        let mut stream = raw(cluster).await;
+        let mut stream = open_raw_session(cluster).await;
         stream
             .write_all(b"Q\0\0\0\x20SELECT")
             .await
@@ -113,7 +114,7 @@
             .expect("connects");
         stream.write_all(&[0xff; 64]).await.expect("writes");
         let _ = stream.read_to_end(&mut answer).await;
-        is_alive(cluster).await;
+        expect_serving(cluster).await;
     });
 }
 
@@ -124,7 +125,7 @@
         create_tables(&mut client).await.expect("creates");
         let boxes = (0..2).map(|i| cluster.sql_address(i)).collect();
         let workload = Workload::start(boxes, "huerto", "market", &Mix::default());
-        let done = |workload: &Workload| workload.journal.borrow().reads;
+        let reads_done = |workload: &Workload| workload.journal.borrow().reads;
         for round in 0..6 {
             let member = 1 + round % 2;
             let faults = match round % 3 {
@@ -145,10 +146,12 @@
                 .set_faults(0, member, &faults)
                 .await
                 .expect("switches");
-            let goal = done(&workload) + 100;
-            until("reads go on", async || done(&workload) >= goal)
-                .await
-                .expect("reads go on");
+            let target = reads_done(&workload) + 100;
+            until("reads are answered", async || {
+                reads_done(&workload) >= target
+            })
+            .await
+            .expect("reads are answered");
             cluster
                 .set_faults(0, member, &Faults::default())
                 .await
@@ -159,9 +162,9 @@
     });
 }
 
-/// The member ran it; whoever hears that it did not run presses again.
+/// The outcome must be reported as unknown: a caller repeats a write that is reported as not run.
 #[gtest]
-fn a_write_whose_answer_is_lost_is_not_called_unrun() {
+fn a_write_whose_answer_is_lost_has_an_unknown_outcome() {
     with_cluster(Shape::default(), async |cluster| {
         let mut client = cluster.connect(0, "market", None).await.expect("connects");
         for text in [
@@ -185,7 +188,7 @@
 }
 
 #[gtest]
-fn a_ruled_write_without_a_key_and_a_key_in_a_transaction_are_refused() {
+fn a_missing_key_and_a_key_inside_a_transaction_are_refused() {
     let rule = serde_json::json!({ "name": "sale", "table": "sale" });
     let shape = Shape {
         rules: vec![("once".to_owned(), rule)],
@@ -209,14 +212,18 @@
             eq("0A000")
         );
         expect_that!(
-            client.query("SELECT 1").await.expect_err("is over").code(),
+            client
+                .query("SELECT 1")
+                .await
+                .expect_err("the transaction has failed")
+                .code(),
             eq("25P02")
         );
         client.query("ROLLBACK").await.expect("ends");
         let count = client
             .query("SELECT count(*) FROM other")
             .await
-            .expect("goes on");
+            .expect("the session stays usable");
         expect_that!(count.number(), some(eq(0)));
     });
 }
--- a/tests/system/main.rs
+++ b/tests/system/main.rs
@@ -1,4 +1,4 @@
-//! Tests over real processes on loopback.
+//! Tests of boxes and members that run as processes and talk over loopback.
 
 mod cli;
 mod clients;
--- a/tests/system/many.rs
+++ b/tests/system/many.rs
@@ -1,4 +1,5 @@
-//! Nine boxes as one system: forwarding, outages, races, leaving, restarts.
+//! Systems of several boxes: forwarding, platform outages, concurrent changes, draining
+//! members and restarts.
 
 use std::collections::BTreeSet;
 
@@ -9,9 +10,9 @@
 use larkfall::trial::cluster::{Cluster, Shape, operator_token, until};
 use serde_json::{Value, json};
 
-use super::support::{acknowledged, is_clean, processes, start_load, with_cluster};
+use super::support::{expect_clean, processes, start_load, wait_for_acks, with_cluster};
 
-fn nine() -> Shape {
+fn nine_boxes() -> Shape {
     Shape {
         boxes: 9,
         groups: vec![
@@ -23,7 +24,8 @@
     }
 }
 
-fn kind(name: &str, max_age_ms: u64) -> Value {
+/// A declared kind of read.
+fn read_kind(name: &str, max_age_ms: u64) -> Value {
     let spec =
         json!({ "partner": "huerto", "group": "market", "name": name, "max_age_ms": max_age_ms });
     json!({ "kind": "read", "spec": spec })
@@ -36,23 +38,23 @@
 type Result<T, E> = std::result::Result<T, E>;
 
 #[gtest]
-fn ordinary_clients_are_served_on_every_box_and_nothing_is_lost_in_a_failover() {
-    with_cluster(nine(), async |cluster| {
+fn every_box_serves_clients_and_a_failover_loses_no_write() {
+    with_cluster(nine_boxes(), async |cluster| {
         let market = start_load(cluster, "market").await;
         let decks = start_load(cluster, "cards/decks").await;
-        acknowledged(&market, 30).await;
+        wait_for_acks(&market, 30).await;
         cluster.members[0][0].running.kill();
-        acknowledged(&market, 30).await;
-        acknowledged(&decks, 30).await;
+        wait_for_acks(&market, 30).await;
+        wait_for_acks(&decks, 30).await;
         expect_that!(cluster.counter("larkfall_forwarded_total").await, gt(0.0));
-        is_clean(market).await;
-        is_clean(decks).await;
+        expect_clean(market).await;
+        expect_clean(decks).await;
     });
 }
 
 #[gtest]
-fn a_platform_outage_stops_no_statement_and_no_replacement() {
-    with_cluster(nine(), async |cluster| {
+fn statements_and_failover_continue_during_a_platform_outage() {
+    with_cluster(nine_boxes(), async |cluster| {
         let workload = start_load(cluster, "market").await;
         let refuse = Faults {
             refuse: true,
@@ -62,64 +64,70 @@
             .set_platform_faults(&refuse)
             .await
             .expect("switches");
-        acknowledged(&workload, 20).await;
+        wait_for_acks(&workload, 20).await;
         cluster.members[0][0].running.kill();
-        acknowledged(&workload, 30).await;
-        let refused = apply(cluster, 0, &[kind("late", 7)]).await;
+        wait_for_acks(&workload, 30).await;
+        let refused = apply(cluster, 0, &[read_kind("late", 7)]).await;
         expect_that!(refused.is_err(), eq(true));
         cluster
             .set_platform_faults(&Faults::default())
             .await
             .expect("switches");
-        until("changes are taken again", async || {
-            apply(cluster, 1, &[kind("late", 7)]).await.is_ok()
+        until("changes are accepted again", async || {
+            apply(cluster, 1, &[read_kind("late", 7)]).await.is_ok()
         })
         .await
-        .expect("changes are taken again");
-        is_clean(workload).await;
+        .expect("changes are accepted again");
+        expect_clean(workload).await;
     });
 }
 
-/// What operators would have seen: after the table came back as an older copy of itself their
-/// changes are refused, since somebody else changed the resource, or come into force nowhere.
+/// Guards against changes that are refused as conflicting, or never take effect, after the
+/// table was restored from an older copy.
 #[gtest]
-fn a_change_after_an_older_copy_of_the_table_comes_into_force_on_every_box() {
-    with_cluster(nine(), async |cluster| {
-        let copy = cluster.platform_head().await.expect("answers");
+fn a_change_takes_effect_on_every_box_after_an_older_table_was_restored() {
+    with_cluster(nine_boxes(), async |cluster| {
+        let older_copy = cluster.platform_head().await.expect("answers");
         for age in 1..8 {
-            let lost = [kind("kept", age), kind(&format!("lost-{age}"), age)];
-            until("a change is taken", async || {
-                apply(cluster, 0, &lost).await.is_ok()
+            let changes = [
+                read_kind("kept", age),
+                read_kind(&format!("lost-{age}"), age),
+            ];
+            until("a change is accepted", async || {
+                apply(cluster, 0, &changes).await.is_ok()
             })
             .await
-            .expect("a change is taken");
+            .expect("a change is accepted");
         }
         let token = operator_token("huerto");
-        let shown = async |i: usize, age: u64| {
+        let is_in_force = async |i: usize, age: u64| {
             let found = cluster.resource(i, &token, "read/huerto/market.kept").await;
             found.is_some_and(|found| found["spec"]["max_age_ms"] == json!(age))
         };
         for i in 0..9 {
-            until("it is in force", async || shown(i, 7).await)
+            until("the change is in force", async || is_in_force(i, 7).await)
                 .await
-                .expect("it is in force");
+                .expect("the change is in force");
         }
-        cluster.restore_platform(copy).await.expect("restores");
-        until("a change is taken again", async || {
-            apply(cluster, 1, &[kind("kept", 70)]).await.is_ok()
+        cluster
+            .restore_platform(older_copy)
+            .await
+            .expect("restores");
+        until("a change is accepted again", async || {
+            apply(cluster, 1, &[read_kind("kept", 70)]).await.is_ok()
         })
         .await
-        .expect("a change is taken again");
+        .expect("a change is accepted again");
         for i in 0..9 {
-            until("it is in force", async || shown(i, 70).await)
+            until("the change is in force", async || is_in_force(i, 70).await)
                 .await
-                .expect("it is in force");
+                .expect("the change is in force");
         }
     });
 }
 
 #[gtest]
-fn a_box_that_starts_while_the_table_is_down_gets_its_configuration_from_a_peer() {
+fn a_box_that_starts_during_a_table_outage_is_configured_by_a_peer() {
     with_cluster(
         Shape {
             boxes: 3,
@@ -135,8 +143,8 @@
                 .await
                 .expect("switches");
             cluster.boxes[2].running.kill();
-            let fresh = cluster.start_box(&processes(), 2);
-            cluster.boxes[2] = fresh;
+            let restarted = cluster.start_box(&processes(), 2);
+            cluster.boxes[2] = restarted;
             until("the box serves", async || {
                 let client = cluster.connect(2, "market", None).await;
                 match client {
@@ -151,24 +159,30 @@
 }
 
 #[gtest]
-fn of_two_operators_that_race_one_wins_and_the_other_is_told_both_versions() {
+fn of_two_concurrent_changes_one_succeeds_and_the_other_conflicts() {
     with_cluster(
         Shape {
             boxes: 3,
             ..Shape::default()
         },
         async |cluster| {
-            let first = apply(cluster, 0, &[kind("panel", 1)])
+            let first = apply(cluster, 0, &[read_kind("panel", 1)])
                 .await
-                .expect("is taken");
+                .expect("is accepted");
             let revision = first["revision"].as_u64().expect("has a revision");
             cluster.in_force(revision).await.expect("in force");
             for round in 0..10 {
-                let (a, b) = ([kind("panel", 100 + round)], [kind("panel", 200 + round)]);
-                let (one, other) = tokio::join!(apply(cluster, 0, &a), apply(cluster, 1, &b));
-                for lost in [&one, &other].into_iter().filter_map(|r| r.as_ref().err()) {
-                    let HttpError::Status { code, body } = lost else {
-                        panic!("no answer: {lost}");
+                let (a, b) = (
+                    [read_kind("panel", 100 + round)],
+                    [read_kind("panel", 200 + round)],
+                );
+                let (first, second) = tokio::join!(apply(cluster, 0, &a), apply(cluster, 1, &b));
+                for rejected in [&first, &second]
+                    .into_iter()
+                    .filter_map(|r| r.as_ref().err())
+                {
+                    let HttpError::Status { code, body } = rejected else {
+                        panic!("no answer: {rejected}");
                     };
                     let body: Value = serde_json::from_str(body).expect("a problem is JSON");
                     expect_that!(*code, eq(409));
@@ -177,12 +191,12 @@
                         some(lt(body["found"].as_u64().unwrap_or(0)))
                     );
                 }
-                expect_that!(one.is_ok() || other.is_ok(), eq(true));
-                let newest = [one, other]
+                expect_that!(first.is_ok() || second.is_ok(), eq(true));
+                let revisions = [first, second]
                     .into_iter()
                     .filter_map(|r| r.ok()?["revision"].as_u64());
                 cluster
-                    .in_force(newest.max().expect("one was taken"))
+                    .in_force(revisions.max().expect("one was accepted"))
                     .await
                     .expect("in force");
             }
@@ -191,58 +205,67 @@
 }
 
 #[gtest]
-fn an_operator_reaches_no_other_partners_resources() {
-    with_cluster(Shape { boxes: 1, ..nine() }, async |cluster| {
-        let foreign = cluster
-            .apply(0, &operator_token("cards"), &[kind("panel", 1)])
-            .await;
-        expect_that!(
-            matches!(foreign, Err(HttpError::Status { code: 403, .. })),
-            eq(true)
-        );
-        let nobody = cluster.apply(0, "guess", &[kind("panel", 1)]).await;
-        expect_that!(
-            matches!(nobody, Err(HttpError::Status { code: 401, .. })),
-            eq(true)
-        );
-        let weight = json!({ "kind": "partner", "spec": { "name": "huerto", "weight": 9, "operator": "0".repeat(64) } });
-        let raised = apply(cluster, 0, &[weight]).await;
-        expect_that!(
-            matches!(raised, Err(HttpError::Status { code: 403, .. })),
-            eq(true)
-        );
-    });
+fn an_operator_can_only_change_its_own_partners_resources() {
+    with_cluster(
+        Shape {
+            boxes: 1,
+            ..nine_boxes()
+        },
+        async |cluster| {
+            let other_partner = cluster
+                .apply(0, &operator_token("cards"), &[read_kind("panel", 1)])
+                .await;
+            expect_that!(
+                matches!(other_partner, Err(HttpError::Status { code: 403, .. })),
+                eq(true)
+            );
+            let unknown_token = cluster.apply(0, "guess", &[read_kind("panel", 1)]).await;
+            expect_that!(
+                matches!(unknown_token, Err(HttpError::Status { code: 401, .. })),
+                eq(true)
+            );
+            let weight = json!({ "kind": "partner", "spec": { "name": "huerto", "weight": 9, "operator": "0".repeat(64) } });
+            let raised_weight = apply(cluster, 0, &[weight]).await;
+            expect_that!(
+                matches!(raised_weight, Err(HttpError::Status { code: 403, .. })),
+                eq(true)
+            );
+        },
+    );
 }
 
 #[gtest]
-fn an_accepted_change_is_in_force_everywhere_and_never_reverts_while_answers_are_lost() {
-    with_cluster(nine(), async |cluster| {
-        let lose = Faults {
+fn a_change_takes_effect_on_every_box_although_the_platforms_answers_are_lost() {
+    with_cluster(nine_boxes(), async |cluster| {
+        let drop_answers = Faults {
             drop_answers: true,
             ..Faults::default()
         };
-        cluster.set_platform_faults(&lose).await.expect("switches");
-        let change = [kind("panel", 77)];
-        let sent = apply(cluster, 0, &change);
-        let back = async {
+        cluster
+            .set_platform_faults(&drop_answers)
+            .await
+            .expect("switches");
+        let change = [read_kind("panel", 77)];
+        let applied = apply(cluster, 0, &change);
+        let end_faults = async {
             tokio::time::sleep(std::time::Duration::from_millis(300)).await;
             cluster
                 .set_platform_faults(&Faults::default())
                 .await
                 .expect("switches");
         };
-        let (done, ()) = tokio::join!(sent, back);
-        let revision = done.expect("is taken")["revision"]
+        let (applied, ()) = tokio::join!(applied, end_faults);
+        let revision = applied.expect("is accepted")["revision"]
             .as_u64()
             .expect("has a revision");
         cluster.in_force(revision).await.expect("in force");
-        let again = apply(cluster, 3, &change).await.expect("is taken");
-        expect_that!(again["plan"][0]["action"].as_str(), some(eq("keep")));
+        let repeated = apply(cluster, 3, &change).await.expect("is accepted");
+        expect_that!(repeated["plan"][0]["action"].as_str(), some(eq("keep")));
     });
 }
 
 #[gtest]
-fn a_leaving_primary_hands_over_and_a_leaving_replica_gets_no_read() {
+fn a_draining_primary_hands_over_and_then_gets_no_statement() {
     with_cluster(
         Shape {
             boxes: 3,
@@ -250,20 +273,20 @@
         },
         async |cluster| {
             let workload = start_load(cluster, "market").await;
-            acknowledged(&workload, 20).await;
+            wait_for_acks(&workload, 20).await;
             let mut declared = cluster.declarations("huerto");
             for resource in &mut declared {
                 if resource["kind"] == "member" && resource["spec"]["name"] == "m0" {
                     resource["spec"]["leaving"] = json!(true);
                 }
             }
-            apply(cluster, 0, &declared).await.expect("is taken");
-            until("another member leads", async || {
+            apply(cluster, 0, &declared).await.expect("is accepted");
+            until("another member is primary", async || {
                 cluster.primary(0).await.is_some_and(|primary| primary != 0)
             })
             .await
-            .expect("another member leads");
-            acknowledged(&workload, 20).await;
+            .expect("another member is primary");
+            wait_for_acks(&workload, 20).await;
             until("the leaving member is idle", async || {
                 let mut running = 0;
                 for i in 0..3 {
@@ -278,13 +301,13 @@
             .expect("the leaving member is idle");
             let unknown = cluster.counter("larkfall_unknown_total").await;
             expect_that!(unknown, eq(0.0));
-            is_clean(workload).await;
+            expect_clean(workload).await;
         },
     );
 }
 
 #[gtest]
-fn a_rolling_restart_of_all_boxes_loses_and_doubles_nothing() {
+fn a_rolling_restart_of_all_boxes_loses_and_repeats_no_write() {
     with_cluster(
         Shape {
             boxes: 4,
@@ -293,24 +316,24 @@
         async |cluster| {
             let workload = start_load(cluster, "market").await;
             for i in 0..4 {
-                acknowledged(&workload, 20).await;
+                wait_for_acks(&workload, 20).await;
                 cluster.boxes[i].running.stop();
-                let fresh = cluster.start_box(&processes(), i as u8);
-                cluster.boxes[i] = fresh;
+                let restarted = cluster.start_box(&processes(), i as u8);
+                cluster.boxes[i] = restarted;
                 until("the box serves again", async || {
                     cluster.connect(i, "market", None).await.is_ok()
                 })
                 .await
                 .expect("the box serves again");
             }
-            acknowledged(&workload, 20).await;
-            is_clean(workload).await;
+            wait_for_acks(&workload, 20).await;
+            expect_clean(workload).await;
         },
     );
 }
 
 #[gtest]
-fn ten_presses_on_three_boxes_while_the_primary_dies_are_one_sale() {
+fn ten_requests_with_one_key_run_once_while_the_primary_dies() {
     with_cluster(
         Shape {
             boxes: 3,
@@ -322,28 +345,30 @@
                 .query("CREATE TABLE sale (id text PRIMARY KEY, key text)")
                 .await
                 .expect("creates");
-            let press = |i: usize| {
-                let at = cluster.sql_address(i % 3);
+            let send = |i: usize| {
+                let address = cluster.sql_address(i % 3);
                 async move {
                     let sql = format!(
                         "/* larkfall: once=sale-1 */ INSERT INTO sale VALUES ('{i}', 'sale-1')"
                     );
-                    let mut client = Client::connect(at, "huerto", "market", None).await.ok()?;
+                    let mut client = Client::connect(address, "huerto", "market", None)
+                        .await
+                        .ok()?;
                     client.query(&sql).await.ok().map(|answer| answer.tag)
                 }
             };
-            let presses = futures::future::join_all((0..10).map(press));
+            let requests = futures::future::join_all((0..10).map(send));
             let (primary, members) = (0, &mut cluster.members);
             let kill = async {
                 tokio::task::yield_now().await;
                 members[0][primary].running.kill();
             };
-            let (tags, ()) = tokio::join!(presses, kill);
-            let told: BTreeSet<String> = tags.into_iter().flatten().collect();
-            expect_that!(told, each(eq("INSERT 0 1")));
-            let again =
+            let (tags, ()) = tokio::join!(requests, kill);
+            let answers: BTreeSet<String> = tags.into_iter().flatten().collect();
+            expect_that!(answers, each(eq("INSERT 0 1")));
+            let repeated =
                 client.query("/* larkfall: once=sale-1 */ INSERT INTO sale VALUES ('x', 'sale-1')");
-            expect_that!(again.await.expect("is answered").tag, eq("INSERT 0 1"));
+            expect_that!(repeated.await.expect("is answered").tag, eq("INSERT 0 1"));
             let count = client
                 .query("SELECT count(*) FROM sale")
                 .await
@@ -354,7 +379,7 @@
 }
 
 #[gtest]
-fn owners_that_come_and_go_under_load_lose_nothing_and_hold_no_connections() {
+fn changing_the_number_of_owners_loses_no_write_and_leaks_no_connection() {
     with_cluster(
         Shape {
             boxes: 4,
@@ -365,20 +390,20 @@
             for owners in [1, 3, 1, 4, 2, 3, 1] {
                 let mut declared = cluster.declarations("huerto");
                 declared[0]["spec"]["owners"] = json!(owners);
-                let done = apply(cluster, 0, &declared).await.expect("is taken");
+                let done = apply(cluster, 0, &declared).await.expect("is accepted");
                 let revision = done["revision"].as_u64().expect("has a revision");
                 cluster.in_force(revision).await.expect("in force");
-                acknowledged(&workload, 15).await;
+                wait_for_acks(&workload, 15).await;
             }
-            is_clean(workload).await;
-            let mut owning = 0;
+            expect_clean(workload).await;
+            let mut owners = 0;
             for i in 0..4 {
                 let dump = cluster.dump(i).await.expect("every box is alive");
-                owning += dump["groups"].as_array().map_or(0, Vec::len);
+                owners += dump["groups"].as_array().map_or(0, Vec::len);
             }
-            expect_that!(owning, eq(1));
+            expect_that!(owners, eq(1));
             until(
-                "boxes that own nothing have closed their connections",
+                "boxes without a group have closed their connections",
                 async || {
                     let mut idle = 0;
                     for i in 0..4 {
@@ -393,7 +418,7 @@
                 },
             )
             .await
-            .expect("boxes that own nothing have closed their connections");
+            .expect("boxes without a group have closed their connections");
         },
     );
 }
--- a/tests/system/support.rs
+++ b/tests/system/support.rs
@@ -1,4 +1,4 @@
-//! Whole systems of processes for tests.
+//! Starts a system of processes for a test and puts load on it.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 
 use super::processes::Processes;
 
-const GUARD: Duration = Duration::from_secs(180);
+/// Limit after which a test that hangs fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(180);
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_larkfall");
 
 pub fn processes() -> Processes {
@@ -26,19 +27,18 @@
         .build()
         .expect("a runtime can be built");
     LocalSet::new().block_on(&runtime, async {
-        let whole = async {
+        let run = async {
             let mut cluster = Cluster::start(shape, &processes())
                 .await
                 .expect("the system starts");
             test(&mut cluster).await;
         };
-        // A guard against hanging for good; no test comes near it.
-        let ended = tokio::time::timeout(GUARD, whole).await;
-        ended.expect("the test ends");
+        let finished = tokio::time::timeout(TEST_TIMEOUT, run).await;
+        finished.expect("the test finishes in time");
     });
 }
 
-/// Starts sessions on every box.
+/// Starts a workload with sessions on every box.
 pub async fn start_load(cluster: &Cluster, group: &str) -> Workload {
     let mut client = cluster.connect(0, group, None).await.expect("connects");
     create_tables(&mut client).await.expect("creates");
@@ -47,18 +47,18 @@
     Workload::start(boxes.collect(), partner, group, &Mix::default())
 }
 
-/// Waits until `count` more writes were acknowledged.
-pub async fn acknowledged(workload: &Workload, count: usize) {
-    let goal = workload.journal.borrow().acks.len() + count;
+/// Waits until `count` more writes have been acknowledged.
+pub async fn wait_for_acks(workload: &Workload, count: usize) {
+    let target = workload.journal.borrow().acks.len() + count;
     until("writes are acknowledged", async || {
-        workload.journal.borrow().acks.len() >= goal
+        workload.journal.borrow().acks.len() >= target
     })
     .await
-    .expect("writes go on");
+    .expect("writes are acknowledged");
 }
 
-/// Ends the sessions; nothing was lost, doubled, stale or mixed up.
-pub async fn is_clean(workload: Workload) {
+/// Ends the workload and expects no lost, repeated, stale or misdirected result.
+pub async fn expect_clean(workload: Workload) {
     let (verdict, _) = workload.finish().await.expect("the rows can be read");
     expect_that!(verdict, eq(Verdict::default()));
 }
