--- a/src/postgres/report.rs
+++ b/src/postgres/response.rs
@@ -1,19 +1,19 @@
-//! Errors and parameters as PostgreSQL messages.
+//! Builds the messages of a server: errors, parameters and readiness.
 
 use pgwire::messages::PgWireBackendMessage as Back;
 use pgwire::messages::response::{ErrorResponse, ReadyForQuery, TransactionStatus};
 use pgwire::messages::startup::ParameterStatus;
 
-/// What callers are told the server is.
+/// Server version reported to callers.
 pub const SERVER_VERSION: &str = "15.0 (larkfall)";
 
-/// Parameter in which a member reports the position its answers reach.
-pub const POSITION: &str = "larkfall.position";
-/// Parameter in which a box hands the session's token to the caller.
-pub const TOKEN: &str = "larkfall.token";
+/// Parameter in which a member reports the position that its answers include.
+pub const POSITION_PARAMETER: &str = "larkfall.position";
+/// Parameter in which a box reports the session's token to the caller.
+pub const TOKEN_PARAMETER: &str = "larkfall.token";
 
-/// What callers are told at start-up besides the version.
-pub const SESSION: [(&str, &str); 6] = [
+/// Parameters reported at start-up, besides the version.
+pub const SESSION_PARAMETERS: [(&str, &str); 6] = [
     ("server_encoding", "UTF8"),
     ("client_encoding", "UTF8"),
     ("DateStyle", "ISO, MDY"),
@@ -24,7 +24,7 @@
 
 /// An error with its SQLSTATE, as sent to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct SqlError {
     pub severity: &'static str,
     pub code: String,
     pub message: String,
@@ -32,7 +32,7 @@
     pub hint: Option<String>,
 }
 
-impl Report {
+impl SqlError {
     pub fn error(code: &str, message: impl Into<String>) -> Self {
         Self {
             severity: "ERROR",
@@ -50,12 +50,13 @@
         }
     }
 
-    pub fn hint(mut self, hint: impl Into<String>) -> Self {
+    pub fn with_hint(mut self, hint: impl Into<String>) -> Self {
         self.hint = Some(hint.into());
         self
     }
 
-    pub fn message(&self) -> Back {
+    /// Encodes the error as a message.
+    pub fn to_message(&self) -> Back {
         let mut fields = vec![
             (b'S', self.severity.to_owned()),
             (b'V', self.severity.to_owned()),
@@ -68,16 +69,16 @@
     }
 }
 
-/// SQLSTATE of an error message, empty when it has none.
-pub fn code_of(error: &ErrorResponse) -> &str {
+/// Returns the SQLSTATE of an error message, empty if there is none.
+pub fn sqlstate(error: &ErrorResponse) -> &str {
     let code = error.fields.iter().find(|(kind, _)| *kind == b'C');
     code.map_or("", |(_, value)| value)
 }
 
-pub fn parameter(name: &str, value: impl Into<String>) -> Back {
+pub fn parameter_status(name: &str, value: impl Into<String>) -> Back {
     Back::ParameterStatus(ParameterStatus::new(name.to_owned(), value.into()))
 }
 
-pub fn ready(status: TransactionStatus) -> Back {
+pub fn ready_for_query(status: TransactionStatus) -> Back {
     Back::ReadyForQuery(ReadyForQuery::new(status))
 }
