--- a/tests/platform/boxes.rs
+++ b/tests/platform/boxes.rs
@@ -13,7 +13,7 @@
 
 /// Where a box listens, and what it is told.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Settings {
     pub name: String,
     pub zone: String,
     pub front: SocketAddr,
@@ -24,7 +24,7 @@
     pub seeds: Vec<SocketAddr>,
     /// The platform's rules on pressure and on shared connections are in force, and the loss
     /// of a failure domain is to be borne.
-    pub under_pressure: bool,
+    pub with_pressure_rules: bool,
 }
 
 /// An IP number that no other box of any test has.
@@ -41,7 +41,7 @@
     )
 }
 
-impl Place {
+impl Settings {
     pub fn new(name: &str, zone: &str, store: SocketAddr) -> Self {
         let own_ip = own_ip();
         let at = |port: u16| SocketAddr::from((own_ip, port));
@@ -54,12 +54,12 @@
             metrics: at(9464),
             store,
             seeds: Vec::new(),
-            under_pressure: false,
+            with_pressure_rules: false,
         }
     }
 
     /// The settings file's text, with fields that nobody knows.
-    pub fn file(&self) -> String {
+    pub fn yaml(&self) -> String {
         let seeds: Vec<String> = self
             .seeds
             .iter()
@@ -69,7 +69,7 @@
             true => " []\n".to_owned(),
             false => format!("\n{}", seeds.concat()),
         };
-        let rules = match self.under_pressure {
+        let rules = match self.with_pressure_rules {
             true => "contracts: [base, pool, pressure]\nfault_tolerance:\n  zones: 1\n",
             false => "",
         };
@@ -89,20 +89,20 @@
 
 /// A running box; killed when dropped.
 pub struct Process {
-    pub place: Place,
+    pub settings: Settings,
     child: Child,
     file: PathBuf,
     log: PathBuf,
 }
 
 impl Process {
-    pub fn start(place: Place) -> Self {
+    pub fn start(place: Settings) -> Self {
         // A box that is started again must not lose its file to the end of the first.
         static STARTS: AtomicU32 = AtomicU32::new(0);
         let start = STARTS.fetch_add(1, Ordering::Relaxed);
         let name = format!("larkfall-{}-{start}.yaml", std::process::id());
         let file = std::env::temp_dir().join(name);
-        std::fs::write(&file, place.file()).expect("a settings file can be written");
+        std::fs::write(&file, place.yaml()).expect("a settings file can be written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_larkfall"));
         command.arg("serve");
         command.args(["--metrics-port", &place.metrics.port().to_string()]);
@@ -111,7 +111,7 @@
         let output = std::fs::File::create(&log).expect("a log file can be written");
         let child = command.stdout(Stdio::from(output)).spawn();
         Self {
-            place,
+            settings: place,
             child: child.expect("a box starts"),
             file,
             log,
@@ -119,8 +119,8 @@
     }
 
     /// Writes the settings file anew, with one text in place of another.
-    pub fn rewrite(&self, from: &str, to: &str) {
-        let text = self.place.file();
+    pub fn replace_in_settings(&self, from: &str, to: &str) {
+        let text = self.settings.yaml();
         assert!(text.contains(from), "{from:?} stands in the file");
         std::fs::write(&self.file, text.replace(from, to)).expect("the file can be written");
     }
@@ -142,7 +142,7 @@
     }
 
     pub async fn is_ready(&self) -> bool {
-        status_of(self.place.ready, "/v1/readyz").await == Some(200)
+        status_of(self.settings.ready, "/v1/readyz").await == Some(200)
     }
 
     pub async fn wait_ready(&self) {
@@ -158,14 +158,16 @@
 
     /// Counters and histograms, as text.
     pub async fn metrics(&self) -> String {
-        get(self.place.metrics, "/metrics")
+        get(self.settings.metrics, "/metrics")
             .await
             .unwrap_or_default()
     }
 
     /// The box's own state, as JSON text.
     pub async fn dump(&self) -> String {
-        get(self.place.control, "/dump").await.unwrap_or_default()
+        get(self.settings.control, "/dump")
+            .await
+            .unwrap_or_default()
     }
 }
 
--- a/tests/platform/client.rs
+++ b/tests/platform/client.rs
@@ -36,16 +36,16 @@
         database: &str,
         name: &'static str,
     ) -> Result<Self, String> {
-        let mut client = Self::raw(address, name).await?;
+        let mut client = Self::connect_raw(address, name).await?;
         client.send(&format!("CONNECT {database} {name}")).await?;
-        match client.line().await? {
+        match client.read_line().await? {
             ready if ready.starts_with("READY I") => Ok(client),
             other => Err(other),
         }
     }
 
     /// A connection that has said nothing yet.
-    pub async fn raw(address: SocketAddr, name: &'static str) -> Result<Self, String> {
+    pub async fn connect_raw(address: SocketAddr, name: &'static str) -> Result<Self, String> {
         let stream = TcpStream::connect(address).await;
         let (read, write) = stream.map_err(|error| error.to_string())?.into_split();
         Ok(Self {
@@ -61,7 +61,7 @@
         sent.map_err(|error| error.to_string())
     }
 
-    pub async fn line(&mut self) -> Result<String, String> {
+    pub async fn read_line(&mut self) -> Result<String, String> {
         let line = tokio::time::timeout(WAIT, self.lines.next_line()).await;
         let line = line.map_err(|_| "no answer".to_owned())?;
         let line = line.map_err(|error| error.to_string())?;
@@ -69,10 +69,10 @@
     }
 
     /// Reads one whole answer.
-    pub async fn answer(&mut self) -> Result<Answer, String> {
+    pub async fn read_answer(&mut self) -> Result<Answer, String> {
         let mut answer = Answer::default();
         loop {
-            let line = self.line().await?;
+            let line = self.read_line().await?;
             let (verb, rest) = line.split_once(' ').unwrap_or((&line, ""));
             let first = rest.split(' ').next().unwrap_or_default().to_owned();
             match verb {
@@ -93,11 +93,11 @@
         self.next += 1;
         let id = format!("{}-{}", self.name, self.next);
         self.send(&format!("QUERY {id} {text}")).await?;
-        self.answer().await
+        self.read_answer().await
     }
 
     /// Id of the last statement.
-    pub fn last(&self) -> String {
+    pub fn last_id(&self) -> String {
         format!("{}-{}", self.name, self.next)
     }
 }
--- a/tests/platform/entries.rs
+++ b/tests/platform/entries.rs
@@ -13,14 +13,14 @@
 
 use super::reading::mirror;
 use super::store::Store;
-use super::world::{entry, manifest};
+use super::world::{manifest, member_entry};
 
 /// The last entry by its key, which is told after all that stood before it.
 const LAST: &str = "z-last";
 
 fn good() -> Value {
     let address = "127.0.0.1:9".parse().expect("an address");
-    entry(1, address, "ready")
+    member_entry(1, address, "ready")
 }
 
 /// A good entry in which one field is another, or missing.
--- a/tests/platform/following.rs
+++ b/tests/platform/following.rs
@@ -34,7 +34,7 @@
 async fn a_box_that_starts_again_beside_others_reads_nothing_but_the_list_of_boxes() {
     let mut world = World::without_boxes().await;
     for i in 0..BOXES {
-        world.add_box_in(i, "zone-0", world.store_address);
+        world.add_box_in_zone(i, "zone-0", world.store_address);
     }
     for started in &world.boxes {
         started.wait_ready().await;
@@ -51,7 +51,7 @@
             None => tokio::time::sleep(PAUSE).await,
         }
     };
-    let place = world.boxes[resting].place.clone();
+    let place = world.boxes[resting].settings.clone();
     world.boxes[resting].kill();
     let started = Process::start(place);
     started.wait_ready().await;
--- a/tests/platform/group.rs
+++ b/tests/platform/group.rs
@@ -11,8 +11,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub term: u64,
-    pub thing: String,
-    pub data: String,
+    pub key: String,
+    pub value: String,
     /// Id of the statement that wrote it.
     pub id: String,
 }
@@ -26,8 +26,8 @@
     /// When each entry came.
     received: Vec<Option<Instant>>,
     /// Term of the order to receive nothing, 0 for none.
-    pub held: u64,
-    pub up: bool,
+    pub fence_term: u64,
+    pub running: bool,
 }
 
 impl State {
@@ -43,15 +43,15 @@
 
     pub fn value(&self, thing: &str, applied: usize) -> Option<String> {
         let entries = self.log[..applied].iter().rev();
-        let mut found = entries.filter(|entry| entry.thing == thing);
-        found.next().map(|entry| entry.data.clone())
+        let mut found = entries.filter(|entry| entry.key == thing);
+        found.next().map(|entry| entry.value.clone())
     }
 
     pub fn append(&mut self, thing: &str, data: &str, id: &str) {
         self.log.push(Entry {
             term: self.term,
-            thing: thing.to_owned(),
-            data: data.to_owned(),
+            key: thing.to_owned(),
+            value: data.to_owned(),
             id: id.to_owned(),
         });
         self.received.push(None);
@@ -72,7 +72,7 @@
             let state = State {
                 primary: i == 0,
                 term: 1,
-                up: true,
+                running: true,
                 ..State::default()
             };
             (id.clone(), state)
@@ -92,9 +92,9 @@
         self.members()[id].log.clone()
     }
 
-    pub fn set_up(&self, id: &str, up: bool) {
+    pub fn set_running(&self, id: &str, up: bool) {
         if let Some(state) = self.members().get_mut(id) {
-            state.up = up;
+            state.running = up;
         }
     }
 
@@ -103,27 +103,29 @@
         let members = self.members();
         let leads = members
             .iter()
-            .filter(|(_, state)| state.primary && state.up);
+            .filter(|(_, state)| state.primary && state.running);
         let newest = leads.max_by_key(|(_, state)| state.term);
         newest.map(|(id, _)| id.clone()).unwrap_or_default()
     }
 
     /// Replicas that receive nothing.
-    pub fn held(&self) -> Vec<String> {
+    pub fn fenced(&self) -> Vec<String> {
         let members = self.members();
-        let held = members.iter().filter(|(_, state)| state.held > 0);
+        let held = members.iter().filter(|(_, state)| state.fence_term > 0);
         held.map(|(id, _)| id.clone()).collect()
     }
 
     /// Brings what primaries hold to their replicas.
     pub fn replicate(&self) {
         let mut members = self.members();
-        let leads = members.values().filter(|state| state.primary && state.up);
+        let leads = members
+            .values()
+            .filter(|state| state.primary && state.running);
         let Some(primary) = leads.max_by_key(|state| state.term).cloned() else {
             return;
         };
         for state in members.values_mut() {
-            let follows = state.up && !state.primary && state.held == 0;
+            let follows = state.running && !state.primary && state.fence_term == 0;
             if !follows {
                 continue;
             }
@@ -143,7 +145,7 @@
 
     /// Takes an order to promote; false when the member is not running.
     pub fn promote(&self, id: &str) -> bool {
-        let running = self.members().get(id).is_some_and(|state| state.up);
+        let running = self.members().get(id).is_some_and(|state| state.running);
         if running {
             let (group, id) = (self.clone(), id.to_owned());
             tokio::spawn(async move {
@@ -160,12 +162,12 @@
         let Some(state) = members.get_mut(id) else {
             return;
         };
-        if state.primary || !state.up {
+        if state.primary || !state.running {
             return;
         }
         state.primary = true;
         state.term = newest.unwrap_or_default() + 1;
-        state.held = 0;
+        state.fence_term = 0;
         state.received.iter_mut().for_each(|at| *at = None);
     }
 }
--- a/tests/platform/hostile.rs
+++ b/tests/platform/hostile.rs
@@ -6,9 +6,9 @@
 use googletest::prelude::*;
 use serde_json::json;
 
-use super::boxes::Place;
+use super::boxes::Settings;
 use super::client::Client;
-use super::member::{self, Switch};
+use super::member::{self, Handle};
 use super::world::{STRICT, World};
 
 async fn still_serves(world: &mut World) {
@@ -22,14 +22,17 @@
 #[tokio::test]
 async fn callers_that_break_the_protocol_are_told_and_harm_nobody() {
     let mut world = World::start(1).await;
-    let front = world.boxes[0].place.front;
-    let mut early = Client::raw(front, "a").await.unwrap();
+    let front = world.boxes[0].settings.front;
+    let mut early = Client::connect_raw(front, "a").await.unwrap();
     early.send("QUERY 1 READ farm").await.unwrap();
-    expect_that!(early.line().await.unwrap(), starts_with("ERROR MALFORMED"));
+    expect_that!(
+        early.read_line().await.unwrap(),
+        starts_with("ERROR MALFORMED")
+    );
     let mut unknown = world.client(0, STRICT, "b").await;
     unknown.send("DANCE now").await.unwrap();
     expect_that!(
-        unknown.line().await.unwrap(),
+        unknown.read_line().await.unwrap(),
         starts_with("ERROR MALFORMED")
     );
     let mut missing = world.client(0, STRICT, "c").await;
@@ -56,15 +59,18 @@
     let sent = long.send(&"x".repeat(3 * 1024 * 1024)).await;
     // The box may hang up before all of it is sent.
     let told = match sent {
-        Ok(()) => long.line().await,
+        Ok(()) => long.read_line().await,
         Err(error) => Err(error),
     };
     if let Ok(line) = told {
         expect_that!(line, starts_with("ERROR MALFORMED"));
     }
-    let mut half = Client::raw(front, "e").await.unwrap();
+    let mut half = Client::connect_raw(front, "e").await.unwrap();
     half.send("CONNECT").await.unwrap();
-    expect_that!(half.line().await.unwrap(), starts_with("ERROR MALFORMED"));
+    expect_that!(
+        half.read_line().await.unwrap(),
+        starts_with("ERROR MALFORMED")
+    );
     still_serves(&mut world).await;
 }
 
@@ -83,7 +89,7 @@
     }
     let mut rows = Vec::new();
     for _ in texts {
-        rows.extend(client.answer().await.unwrap().rows);
+        rows.extend(client.read_answer().await.unwrap().rows);
     }
     expect_that!(rows, elements_are![eq("1 []"), eq("2 []")]);
 }
@@ -110,7 +116,7 @@
 #[tokio::test]
 async fn a_member_that_answers_for_another_id_gets_no_statement() {
     let mut world = World::start(1).await;
-    let switch = Switch::default();
+    let switch = Handle::default();
     let address = member::start(world.group.clone(), "i-other", 12, switch.clone()).await;
     let entry = json!({
         "backend": "db1", "address": address.to_string(), "zone": "zone-0", "state": "ready",
@@ -119,14 +125,14 @@
     for _ in 0..20 {
         still_serves(&mut world).await;
     }
-    let asked = switch.asked.lock().expect("no panic under the lock");
+    let asked = switch.statements.lock().expect("no panic under the lock");
     expect_that!(*asked, is_empty());
 }
 
 #[gtest]
 fn settings_with_mistakes_are_refused_with_their_place() {
-    let place = Place::new("box", "zone-0", "127.0.0.1:1".parse().expect("an address"));
-    let text = place.file();
+    let place = Settings::new("box", "zone-0", "127.0.0.1:1".parse().expect("an address"));
+    let text = place.yaml();
     let cases = [
         (text.replace("node_name", "other_name"), "node_name"),
         (text.replace("grace_s: 4", "grace_s: soon"), "grace_s"),
--- a/tests/platform/leaving.rs
+++ b/tests/platform/leaving.rs
@@ -58,11 +58,11 @@
     add_box(&mut world, 0).await;
     let mut early = world.client(0, STRICT, "e").await;
     early.run("WRITE farm first").await.unwrap();
-    world.drain("i-0");
+    world.drain_member("i-0");
     // Another that knows still sends.
     add_box(&mut world, 1).await;
     // Before that it passes statements on to the first.
-    world.wait_primary().await;
+    world.wait_for_primary().await;
     let mut second = world.client(1, STRICT, "s").await;
     expect_that!(is_served(&mut second).await, eq(true));
     expect_that!(write_until_refused(&mut early).await, eq("RETRY"));
@@ -77,7 +77,7 @@
 #[tokio::test]
 async fn a_member_that_left_before_any_box_started_gets_nothing() {
     let mut world = lone_member().await;
-    world.drain("i-0");
+    world.drain_member("i-0");
     add_box(&mut world, 0).await;
     let mut client = world.client(0, STRICT, "c").await;
     expect_that!(is_served(&mut client).await, eq(false));
--- a/tests/platform/member.rs
+++ b/tests/platform/member.rs
@@ -15,47 +15,47 @@
 
 /// Faults and counts of one member, shared with the test.
 #[derive(Clone)]
-pub struct Switch {
+pub struct Handle {
     /// Answers nobody, and takes nobody.
     pub frozen: Arc<AtomicBool>,
     /// Answers to statements that are thrown away after they ran.
     pub lose_answers: Arc<AtomicU64>,
     /// Breaks off in the middle of this many rows.
-    pub break_rows: Arc<AtomicU64>,
+    pub truncate_rows: Arc<AtomicU64>,
     /// Time from receiving to applying, in milliseconds.
     pub lag_ms: Arc<AtomicU64>,
     /// Connections open now, and the most there were.
-    pub open: Arc<AtomicUsize>,
-    pub most: Arc<AtomicUsize>,
+    pub open_connections: Arc<AtomicUsize>,
+    pub peak_connections: Arc<AtomicUsize>,
     /// Reads that it ran.
     pub reads: Arc<AtomicU64>,
     /// All that was asked, in order.
-    pub asked: Arc<Mutex<Vec<String>>>,
+    pub statements: Arc<Mutex<Vec<String>>>,
     /// Who was told to call, and the statement's id, for all statements of callers.
-    pub told: Arc<Mutex<Vec<(String, String)>>>,
+    pub caller_statements: Arc<Mutex<Vec<(String, String)>>>,
     stop: Arc<Notify>,
     slots: Arc<Semaphore>,
 }
 
-impl Default for Switch {
+impl Default for Handle {
     fn default() -> Self {
         Self {
             frozen: Arc::default(),
             lose_answers: Arc::default(),
-            break_rows: Arc::default(),
+            truncate_rows: Arc::default(),
             lag_ms: Arc::new(AtomicU64::new(5)),
-            open: Arc::default(),
-            most: Arc::default(),
+            open_connections: Arc::default(),
+            peak_connections: Arc::default(),
             reads: Arc::default(),
-            asked: Arc::default(),
-            told: Arc::default(),
+            statements: Arc::default(),
+            caller_statements: Arc::default(),
             stop: Arc::default(),
             slots: Arc::new(Semaphore::new(3)),
         }
     }
 }
 
-impl Switch {
+impl Handle {
     /// Ends the listener and all connections, as a crash does.
     pub fn crash(&self) {
         self.stop.notify_waiters();
@@ -75,7 +75,7 @@
 }
 
 /// Starts a member; returns its address.
-pub async fn start(group: Group, id: &str, connections: usize, switch: Switch) -> SocketAddr {
+pub async fn start(group: Group, id: &str, connections: usize, switch: Handle) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     let id = id.to_owned();
@@ -89,15 +89,15 @@
             let (group, id, switch) = (group.clone(), id.clone(), switch.clone());
             tokio::spawn(async move {
                 let stop = switch.stop.clone();
-                let open = switch.open.fetch_add(1, Ordering::SeqCst) + 1;
-                switch.most.fetch_max(open, Ordering::SeqCst);
+                let open = switch.open_connections.fetch_add(1, Ordering::SeqCst) + 1;
+                switch.peak_connections.fetch_max(open, Ordering::SeqCst);
                 let full = open > connections;
                 let session = serve(group, id, switch.clone(), stream, full);
                 tokio::select! {
                     _ = session => {}
                     () = stop.notified() => {}
                 }
-                switch.open.fetch_sub(1, Ordering::SeqCst);
+                switch.open_connections.fetch_sub(1, Ordering::SeqCst);
             });
         }
     });
@@ -117,13 +117,13 @@
 struct Member {
     group: Group,
     id: String,
-    switch: Switch,
+    switch: Handle,
 }
 
 async fn serve(
     group: Group,
     id: String,
-    switch: Switch,
+    switch: Handle,
     stream: TcpStream,
     full: bool,
 ) -> std::io::Result<()> {
@@ -152,14 +152,14 @@
             return Ok(());
         };
         let (query_id, text) = query.split_once(' ').unwrap_or((query, ""));
-        let asked = &member.switch.asked;
+        let asked = &member.switch.statements;
         asked
             .lock()
             .expect("no panic under the lock")
             .push(text.to_owned());
         if query_id != "-" {
             let told = (who.clone(), query_id.to_owned());
-            let all = &member.switch.told;
+            let all = &member.switch.caller_statements;
             all.lock().expect("no panic under the lock").push(told);
         }
         let answer = {
@@ -170,7 +170,7 @@
         if query_id != "-" && member.switch.takes(&member.switch.lose_answers) {
             return Ok(());
         }
-        if answer.starts_with("DATA") && member.switch.takes(&member.switch.break_rows) {
+        if answer.starts_with("DATA") && member.switch.takes(&member.switch.truncate_rows) {
             return write.write_all(&answer.as_bytes()[..4]).await;
         }
         let state = member.state(&session);
@@ -208,7 +208,7 @@
             "STATUS" => self.status(),
             "PAUSE" => self.pause(first.parse().unwrap_or_default()),
             "RESUME" => {
-                self.with(|state| state.held = 0);
+                self.with(|state| state.fence_term = 0);
                 self.status()
             }
             "STEPDOWN" => self.step_down(first.parse().unwrap_or_default()),
@@ -259,13 +259,13 @@
     }
 
     fn status(&self) -> String {
-        let open = self.switch.open.load(Ordering::SeqCst);
+        let open = self.switch.open_connections.load(Ordering::SeqCst);
         self.with(|state| {
             let role = if state.primary { "primary" } else { "replica" };
             let position = state.position(state.log.len());
             format!(
                 "DATA {role} {} {position} {} 0 0 {open}\r\n{DONE}",
-                state.term, state.held
+                state.term, state.fence_term
             )
         })
     }
@@ -274,7 +274,7 @@
         let taken = self.with(|state| {
             let taken = !state.primary && term > state.term;
             if taken {
-                state.held = term;
+                state.fence_term = term;
             }
             taken
         });
--- a/tests/platform/older_copy.rs
+++ b/tests/platform/older_copy.rs
@@ -15,9 +15,9 @@
 
 use super::client::Client;
 use super::reading::{measured, mirror, reader, rows_until};
-use super::restarts::remove_route;
+use super::restarts::remove_strict_route;
 use super::store::{Fault, Store};
-use super::world::{STRICT, World, entry, manifest};
+use super::world::{STRICT, World, manifest, member_entry};
 
 /// Time in which a change has to be in force.
 const APPLY: Duration = Duration::from_secs(3);
@@ -47,7 +47,7 @@
 
 /// Whether a box refuses a database in time.
 async fn is_removed_in_time(world: &World, index: usize) -> bool {
-    let front = world.boxes[index].place.front;
+    let front = world.boxes[index].settings.front;
     let removed = async {
         while Client::connect(front, STRICT, "a").await.is_ok() {
             tokio::time::sleep(PAUSE).await;
@@ -78,7 +78,7 @@
     world.store.restore(copy, AGAIN);
     world.store.set_fault(Fault::None);
     tokio::time::sleep(2 * AGAIN).await;
-    remove_route(&world, 50);
+    remove_strict_route(&world, 50);
     for index in 0..world.boxes.len() {
         expect_that!(is_removed_in_time(&world, index).await, eq(true), "{index}");
     }
@@ -94,7 +94,7 @@
 
 /// Whether a database is refused at each of some looks.
 async fn stays_removed(world: &World, index: usize) -> bool {
-    let front = world.boxes[index].place.front;
+    let front = world.boxes[index].settings.front;
     for _ in 0..LOOKS {
         if Client::connect(front, STRICT, "a").await.is_ok() {
             return false;
@@ -119,7 +119,7 @@
 async fn an_older_copy_brings_nothing_back_that_was_removed() {
     let world = World::start(2).await;
     let copy = world.store.version();
-    remove_route(&world, 50);
+    remove_strict_route(&world, 50);
     for index in 0..2 {
         expect_that!(is_removed_in_time(&world, index).await, eq(true));
     }
@@ -143,10 +143,10 @@
 async fn a_box_that_starts_beside_an_older_copy_learns_the_newer_document_from_another() {
     let mut world = World::start(2).await;
     for name in ["box/box-0", "box/box-1"] {
-        world.store.wait_for("larkfall", name).await;
+        world.store.wait_for_row("larkfall", name).await;
     }
     let copy = world.store.version();
-    remove_route(&world, 50);
+    remove_strict_route(&world, 50);
     for index in 0..2 {
         expect_that!(is_removed_in_time(&world, index).await, eq(true));
     }
@@ -183,7 +183,7 @@
     for key in ["a", "b", "c"] {
         store.put("op", key, &json!(1));
     }
-    store.page_and_restore(1, store.version());
+    store.page_reads_and_restore(1, store.version());
     let reader = reader(&store).await;
     let read = reader.read("op").await;
     expect_that!(read.err(), some(eq(&StoreError::Replaced)));
@@ -198,10 +198,10 @@
 async fn an_answer_of_the_copy_before_that_comes_late_is_not_taken() {
     let store = Store::default();
     store.put("op", "a", &json!(1));
-    store.name_era(5);
+    store.set_era(5);
     let reader = reader(&store).await;
     expect_that!(reader.read("op").await.is_ok(), eq(true));
-    store.name_era(4);
+    store.set_era(4);
     let late = reader.read("op").await;
     expect_that!(late.err(), some(eq(&StoreError::Replaced)));
 }
@@ -227,7 +227,7 @@
         while asked("wait") == 0 {
             tokio::time::sleep(PAUSE).await;
         }
-        store.silence("servers");
+        store.silence_table("servers");
         store.restore(copy, NEVER);
         store.put("op", "config", &manifest(4, 3_000));
         let again = async {
@@ -290,12 +290,12 @@
     world.add_box(1);
     for (index, name) in ["box/box-0", "box/box-1"].into_iter().enumerate() {
         world.boxes[index].wait_ready().await;
-        world.store.wait_for("larkfall", name).await;
+        world.store.wait_for_row("larkfall", name).await;
     }
     world.store.restore(copy, AGAIN);
     let listed = async {
         for name in ["box/box-0", "box/box-1"] {
-            world.store.wait_for("larkfall", name).await;
+            world.store.wait_for_row("larkfall", name).await;
         }
     };
     let listed = tokio::time::timeout(PATIENCE, listed).await;
@@ -314,7 +314,7 @@
     store.put(
         "servers",
         "i-0",
-        &entry(0, ([127, 0, 0, 1], 1).into(), "ready"),
+        &member_entry(0, ([127, 0, 0, 1], 1).into(), "ready"),
     );
     let check = async {
         let mirror = mirror(&store).await;
@@ -324,7 +324,7 @@
         store.put(
             "servers",
             "i-1",
-            &entry(1, ([127, 0, 0, 1], 1).into(), "draining"),
+            &member_entry(1, ([127, 0, 0, 1], 1).into(), "draining"),
         );
         tokio::time::sleep(away).await;
         // By the time of the member's word the copy was read.
@@ -375,7 +375,7 @@
         let added = world.add_database();
         let began = Instant::now();
         for started in &world.boxes {
-            while Client::connect(started.place.front, &added, "a")
+            while Client::connect(started.settings.front, &added, "a")
                 .await
                 .is_err()
             {
--- a/tests/platform/proxy.rs
+++ b/tests/platform/proxy.rs
@@ -12,7 +12,7 @@
 
 /// What the proxy does to all its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Harm {
+pub enum Impairment {
     #[default]
     None,
     /// Each piece waits so many milliseconds.
@@ -29,7 +29,7 @@
 #[derive(Clone)]
 pub struct Proxy {
     pub address: SocketAddr,
-    harm: Arc<Mutex<watch::Sender<Harm>>>,
+    harm: Arc<Mutex<watch::Sender<Impairment>>>,
     /// How often the connections open at the time went silent.
     hushed: Arc<AtomicU64>,
 }
@@ -38,7 +38,7 @@
     pub async fn start(upstream: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let (harm, seen) = watch::channel(Harm::None);
+        let (harm, seen) = watch::channel(Impairment::None);
         let hushed = Arc::new(AtomicU64::new(0));
         let counted = hushed.clone();
         tokio::spawn(async move {
@@ -58,11 +58,11 @@
     }
 
     /// All connections that are open now carry nothing any more; new ones work.
-    pub fn hush(&self) {
+    pub fn silence_open_connections(&self) {
         self.hushed.fetch_add(1, Ordering::SeqCst);
     }
 
-    pub fn set(&self, harm: Harm) {
+    pub fn set_impairment(&self, harm: Impairment) {
         let sender = self.harm.lock().expect("no panic under the lock");
         sender.send_replace(harm);
     }
@@ -89,10 +89,10 @@
 async fn carry(
     caller: TcpStream,
     upstream: SocketAddr,
-    harm: watch::Receiver<Harm>,
+    harm: watch::Receiver<Impairment>,
     hush: Hush,
 ) -> std::io::Result<()> {
-    if *harm.borrow() == Harm::Reset {
+    if *harm.borrow() == Impairment::Reset {
         return Ok(());
     }
     let member = TcpStream::connect(upstream).await?;
@@ -101,21 +101,21 @@
     let (from_caller, to_caller) = caller.into_split();
     let (from_member, to_member) = member.into_split();
     let mut reset = harm.clone();
-    let held: &[Harm] = &[Harm::Silent, Harm::OneWay];
+    let held: &[Impairment] = &[Impairment::Silent, Impairment::OneWay];
     let there = pass(from_caller, to_member, harm.clone(), &held[..1], &hush);
     let back = pass(from_member, to_caller, harm, held, &hush);
     tokio::select! {
         done = there => done,
         done = back => done,
-        _ = reset.wait_for(|harm| *harm == Harm::Reset) => Ok(()),
+        _ = reset.wait_for(|harm| *harm == Impairment::Reset) => Ok(()),
     }
 }
 
 async fn pass(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut harm: watch::Receiver<Harm>,
-    held: &[Harm],
+    mut harm: watch::Receiver<Impairment>,
+    held: &[Impairment],
     hush: &Hush,
 ) -> std::io::Result<()> {
     let mut bytes = vec![0; 16 * 1024];
@@ -131,7 +131,7 @@
             continue;
         }
         let now = *harm.borrow();
-        if let Harm::Delay(ms) = now {
+        if let Impairment::Delay(ms) = now {
             tokio::time::sleep(Duration::from_millis(ms)).await;
         }
         to.write_all(&bytes[..count]).await?;
--- a/tests/platform/reading.rs
+++ b/tests/platform/reading.rs
@@ -65,7 +65,7 @@
     for key in ["a", "b", "c"] {
         store.put("servers", key, &json!(1));
     }
-    store.page(1, ("servers", "a", &json!(2)));
+    store.page_reads_and_put(1, ("servers", "a", &json!(2)));
     let reader = reader(&store).await;
     let read = reader.read("servers").await.unwrap();
     expect_that!(read.rows.len(), eq(3));
@@ -157,7 +157,7 @@
                 .lag_ms
                 .map(Duration::from_millis);
             expect_that!(prompt, some(lt(SILENCE)));
-            proxy.hush();
+            proxy.silence_open_connections();
             store.put("servers", "i-2", &entry("draining"));
             let silent = scan_until(&mirror, "i-2")
                 .await
--- a/tests/platform/relay.rs
+++ b/tests/platform/relay.rs
@@ -6,8 +6,8 @@
 
 use googletest::prelude::*;
 
-use super::restarts::{read_until, remove_route};
-use super::world::{OWN, STRICT, World};
+use super::restarts::{read_until_outcome, remove_strict_route};
+use super::world::{OWN_WRITES, STRICT, World};
 
 const BOXES: usize = 6;
 
@@ -16,8 +16,8 @@
     let mut world = World::without_boxes().await;
     let mut cuts = Vec::new();
     for i in 0..BOXES {
-        let (address, cut) = world.store.start_apart().await;
-        world.add_box_in(i, "zone-0", address);
+        let (address, cut) = world.store.start_with_cut().await;
+        world.add_box_in_zone(i, "zone-0", address);
         cuts.push(cut);
     }
     for started in &world.boxes {
@@ -60,9 +60,9 @@
     for i in &resting {
         clients.push(world.client(*i, STRICT, "a").await);
     }
-    remove_route(&world, 30);
+    remove_strict_route(&world, 30);
     for client in &mut clients {
-        read_until(client, Some("NODB")).await;
+        read_until_outcome(client, Some("NODB")).await;
     }
 }
 
@@ -74,12 +74,13 @@
     for (i, cut) in cuts.iter().enumerate() {
         cut.store(!resting.contains(&i), Ordering::SeqCst);
     }
-    remove_route(&world, 30);
-    let mut client = world.client(resting[0], OWN, "a").await;
-    read_until(&mut client, None).await;
+    remove_strict_route(&world, 30);
+    let mut client = world.client(resting[0], OWN_WRITES, "a").await;
+    read_until_outcome(&mut client, None).await;
     for i in &resting {
         loop {
-            let client = super::client::Client::connect(world.boxes[*i].place.front, STRICT, "b");
+            let client =
+                super::client::Client::connect(world.boxes[*i].settings.front, STRICT, "b");
             if client.await.is_err_and(|error| error.contains("NODB")) {
                 break;
             }
--- a/tests/platform/reload.rs
+++ b/tests/platform/reload.rs
@@ -6,7 +6,7 @@
 use larkfall::platform::file::File;
 use nix::sys::signal::Signal;
 
-use super::boxes::{Place, Process};
+use super::boxes::{Process, Settings};
 use super::client::Client;
 use super::world::{STRICT, World};
 
@@ -35,16 +35,16 @@
     let world = World::start(1).await;
     let started = &world.boxes[0];
     let mut client = world.client(0, STRICT, "a").await;
-    started.rewrite("max_fds: 1000", "max_fds: 0");
+    started.replace_in_settings("max_fds: 1000", "max_fds: 0");
     started.signal(Signal::SIGHUP);
     wait_read(started, "taken", 1).await;
     expect_that!(client.run("READ farm").await.unwrap().error, none());
-    let refused = Client::connect(started.place.front, STRICT, "b").await;
+    let refused = Client::connect(started.settings.front, STRICT, "b").await;
     expect_that!(refused.is_err(), eq(true));
     // Without a signal too, once the file is looked at.
-    started.rewrite("max_fds: 1000", "max_fds: 900");
+    started.replace_in_settings("max_fds: 1000", "max_fds: 900");
     wait_read(started, "taken", 2).await;
-    let taken = Client::connect(started.place.front, STRICT, "c").await;
+    let taken = Client::connect(started.settings.front, STRICT, "c").await;
     expect_that!(taken.is_ok(), eq(true));
 }
 
@@ -54,11 +54,11 @@
     let world = World::start(1).await;
     let started = &world.boxes[0];
     for (times, wrong) in [(1, "max_fds: many"), (2, "max_fds: 0\n  max_fds: 0")] {
-        started.rewrite("max_fds: 1000", wrong);
+        started.replace_in_settings("max_fds: 1000", wrong);
         started.signal(Signal::SIGHUP);
         wait_read(started, "refused", times).await;
     }
-    let taken = Client::connect(started.place.front, STRICT, "a").await;
+    let taken = Client::connect(started.settings.front, STRICT, "a").await;
     expect_that!(taken.is_ok(), eq(true));
 }
 
@@ -66,7 +66,7 @@
 #[gtest]
 fn what_is_wrong_in_a_file_is_named_by_its_field() {
     let store = "127.0.0.1:9".parse().expect("an address");
-    let text = Place::new("b", "z", store).file();
+    let text = Settings::new("b", "z", store).yaml();
     let wrong = [
         ("grace_s: 4", "grace_s: .inf", "bounds.grace_s"),
         (
--- a/tests/platform/restarts.rs
+++ b/tests/platform/restarts.rs
@@ -6,7 +6,7 @@
 use nix::sys::signal::Signal;
 use serde_json::Value;
 
-use super::boxes::{Place, Process};
+use super::boxes::{Process, Settings};
 use super::client::{Answer, Client};
 use super::store::Fault;
 use super::world::{STRICT, World, manifest};
@@ -23,13 +23,13 @@
 }
 
 /// Puts a manifest without the strict route.
-pub fn remove_route(world: &World, version: u64) {
+pub fn remove_strict_route(world: &World, version: u64) {
     let next = without_strict(version, 3_000);
     world.store.put("op", "config", &next);
 }
 
 /// Reads until the answer has this error, or none.
-pub async fn read_until(client: &mut Client, error: Option<&str>) -> Answer {
+pub async fn read_until_outcome(client: &mut Client, error: Option<&str>) -> Answer {
     loop {
         let answer = client.run("READ farm").await.unwrap();
         if answer.error.as_deref() == error {
@@ -82,9 +82,9 @@
     let done = client.run("COMMIT").await.unwrap();
     expect_that!(done.digest, some(eq("commit.i-0")));
     let _open = late.run("BEGIN").await;
-    expect_that!(idle.line().await.err(), some(eq("closed")));
+    expect_that!(idle.read_line().await.err(), some(eq("closed")));
     // Whoever comes now is sent away, not let in and closed.
-    let front = world.boxes[0].place.front;
+    let front = world.boxes[0].settings.front;
     let refused = Client::connect(front, STRICT, "d").await;
     expect_that!(refused.is_err(), eq(true));
     while world.boxes[0].is_running() {
@@ -119,13 +119,13 @@
 #[tokio::test]
 async fn a_box_that_starts_while_the_store_is_away_learns_from_its_peers() {
     let mut world = World::start(2).await;
-    world.store.set_fault(Fault::Busy);
-    let mut place = Place::new("box-9", "zone-0", world.store_address);
-    place.seeds = vec![world.boxes[0].place.control];
+    world.store.set_fault(Fault::Unavailable);
+    let mut place = Settings::new("box-9", "zone-0", world.store_address);
+    place.seeds = vec![world.boxes[0].settings.control];
     world.boxes.push(Process::start(place));
     world.boxes[2].wait_ready().await;
     let mut client = world.client(2, STRICT, "a").await;
-    read_until(&mut client, None).await;
+    read_until_outcome(&mut client, None).await;
     expect_that!(client.run("READ farm").await.unwrap().error, none());
 }
 
@@ -152,16 +152,16 @@
 async fn a_database_that_only_a_peer_knew_of_is_gone_once_the_store_lacks_it() {
     let mut world = World::start(3).await;
     world.store.set_fault(Fault::Silent);
-    let mut place = world.boxes[2].place.clone();
-    place.seeds = vec![world.boxes[0].place.control];
+    let mut place = world.boxes[2].settings.clone();
+    place.seeds = vec![world.boxes[0].settings.control];
     world.boxes[2].kill();
     world.boxes[2] = Process::start(place);
     world.boxes[2].wait_ready().await;
     let mut client = world.client(2, STRICT, "a").await;
-    read_until(&mut client, None).await;
+    read_until_outcome(&mut client, None).await;
     // Nobody is left who saw it go.
     world.boxes.drain(..2);
-    remove_route(&world, 20);
+    remove_strict_route(&world, 20);
     let mut next = without_strict(24, 2_900);
     let routes = next["routes"].as_array_mut().expect("routes");
     let mut added = routes[0].clone();
@@ -169,7 +169,7 @@
     routes.push(added);
     world.store.put("op", "config", &next);
     world.store.set_fault(Fault::None);
-    let front = world.boxes[0].place.front;
+    let front = world.boxes[0].settings.front;
     while Client::connect(front, ADDED, "b").await.is_err() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -187,10 +187,10 @@
     let mut client = world.client(0, STRICT, "a").await;
     world.store.forget_history();
     world.store.set_fault(Fault::Silent);
-    remove_route(&world, 20);
+    remove_strict_route(&world, 20);
     expect_that!(client.run("READ farm").await.unwrap().error, none());
     world.store.set_fault(Fault::None);
-    read_until(&mut client, Some("NODB")).await;
+    read_until_outcome(&mut client, Some("NODB")).await;
 }
 
 #[gtest]
@@ -199,14 +199,14 @@
     let mut world = World::start(3).await;
     let mut client = world.client(0, STRICT, "a").await;
     client.run("WRITE farm kept").await.unwrap();
-    let places: Vec<Place> = world.boxes.iter().map(|b| b.place.clone()).collect();
+    let places: Vec<Settings> = world.boxes.iter().map(|b| b.settings.clone()).collect();
     world.boxes.clear();
     world.boxes = places.into_iter().map(Process::start).collect();
     for started in &world.boxes {
         started.wait_ready().await;
     }
     let mut client = world.client(1, STRICT, "b").await;
-    let answer = read_until(&mut client, None).await;
+    let answer = read_until_outcome(&mut client, None).await;
     expect_that!(answer.rows, elements_are![eq("kept []")]);
 }
 
@@ -216,11 +216,11 @@
     let world = World::start(1).await;
     let mut client = world.client(0, STRICT, "a").await;
     // All waits end with an error, and one table never answers again.
-    world.store.set_fault(Fault::Busy);
-    world.store.silence("servers");
-    remove_route(&world, 30);
+    world.store.set_fault(Fault::Unavailable);
+    world.store.silence_table("servers");
+    remove_strict_route(&world, 30);
     world.store.set_fault(Fault::None);
-    read_until(&mut client, Some("NODB")).await;
+    read_until_outcome(&mut client, Some("NODB")).await;
 }
 
 /// On trouble-3 of cosecha-larkfall-grown boxes that came back refused databases that
@@ -229,9 +229,9 @@
 #[tokio::test]
 async fn a_box_that_has_not_read_the_manifest_yet_refuses_no_database() {
     let mut world = World::without_boxes().await;
-    world.store.silence("op");
+    world.store.silence_table("op");
     world.add_box(0);
-    let front = world.boxes[0].place.front;
+    let front = world.boxes[0].settings.front;
     let early = tokio::spawn(async move {
         loop {
             match Client::connect(front, STRICT, "early").await {
@@ -244,7 +244,7 @@
     // Long enough for the other tables to be read, which is not waited for: a box that
     // takes longer only proves less.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    world.store.end_silence();
+    world.store.end_table_silence();
     let mut client = early.await.unwrap().expect("the database is there");
-    read_until(&mut client, None).await;
+    read_until_outcome(&mut client, None).await;
 }
--- a/tests/platform/sessions.rs
+++ b/tests/platform/sessions.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 
 use super::client::Client;
-use super::world::{BOUNDED, OWN, STRICT, World, manifest};
+use super::world::{BOUNDED, OWN_WRITES, STRICT, World, manifest};
 
 #[gtest]
 #[tokio::test]
@@ -25,7 +25,7 @@
 #[tokio::test]
 async fn a_database_that_is_not_there_is_refused_by_name() {
     let world = World::start(1).await;
-    let front = world.boxes[0].place.front;
+    let front = world.boxes[0].settings.front;
     let refused = Client::connect(front, "nowhere", "a").await;
     expect_that!(refused.err(), some(starts_with("ERROR NODB")));
 }
@@ -37,7 +37,7 @@
     for (_, _, switch) in &world.members {
         switch.lag_ms.store(150, Ordering::SeqCst);
     }
-    let mut client = world.client(0, OWN, "a").await;
+    let mut client = world.client(0, OWN_WRITES, "a").await;
     for round in 0..20 {
         client.run(&format!("WRITE farm {round}")).await.unwrap();
         let read = client.run("READ farm").await.unwrap();
@@ -145,7 +145,7 @@
     let rolled_back = || {
         let asked = world.members[0]
             .2
-            .asked
+            .statements
             .lock()
             .expect("no panic under the lock");
         asked.iter().any(|text| text == "ROLLBACK")
@@ -174,14 +174,14 @@
     let world = World::start(1).await;
     let mut client = world.client(0, STRICT, "a").await;
     client.run("WRITE farm before").await.unwrap();
-    let primary = world.switch("i-0");
+    let primary = world.member("i-0");
     primary.lose_answers.store(1, Ordering::SeqCst);
     let write = client.run("WRITE farm after").await.unwrap();
     expect_that!(write.error, some(eq("UNKNOWN")));
     expect_that!(write.state, eq("I"));
     let mut panel = world.client(0, BOUNDED, "b").await;
     for (_, _, switch) in &world.members {
-        switch.break_rows.store(1, Ordering::SeqCst);
+        switch.truncate_rows.store(1, Ordering::SeqCst);
     }
     let read = panel.run("READ farm").await.unwrap();
     expect_that!(read.error, none());
@@ -204,7 +204,7 @@
             break;
         }
     }
-    let front = world.boxes[0].place.front;
+    let front = world.boxes[0].settings.front;
     expect_that!(Client::connect(front, "fresh", "b").await.is_ok(), eq(true));
 }
 
@@ -214,7 +214,7 @@
     let world = World::start(3).await;
     let mut tasks = Vec::new();
     for i in 0..30 {
-        let mut client = world.client(i % 3, OWN, "many").await;
+        let mut client = world.client(i % 3, OWN_WRITES, "many").await;
         tasks.push(tokio::spawn(async move {
             let mut served = 0;
             for round in 0..10 {
@@ -230,6 +230,6 @@
     }
     expect_that!(served, gt(0));
     for (_, _, switch) in &world.members {
-        expect_that!(switch.most.load(Ordering::SeqCst), le(12));
+        expect_that!(switch.peak_connections.load(Ordering::SeqCst), le(12));
     }
 }
--- a/tests/platform/silence.rs
+++ b/tests/platform/silence.rs
@@ -10,10 +10,10 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 
-use super::boxes::{Place, Process};
-use super::restarts::read_until;
+use super::boxes::{Process, Settings};
+use super::restarts::read_until_outcome;
 use super::store::Fault;
-use super::world::{OWN, STRICT, World};
+use super::world::{OWN_WRITES, STRICT, World};
 
 /// Time after which a box on whose connections nothing is wrong any more has to know all
 /// changes: the least that a deployment of the users states.
@@ -28,23 +28,23 @@
 async fn a_silent_connection_replaces_nobody_and_its_write_is_not_called_unrun() {
     let (world, proxies) = World::behind_proxies(3, false).await;
     let mut writer = world.client(0, STRICT, "w").await;
-    let mut reader = world.client(0, OWN, "r").await;
+    let mut reader = world.client(0, OWN_WRITES, "r").await;
     world
-        .write_until_done(&mut writer, "WRITE farm first")
+        .write_until_acknowledged(&mut writer, "WRITE farm first")
         .await;
-    read_until(&mut reader, None).await;
+    read_until_outcome(&mut reader, None).await;
     for proxy in &proxies {
-        proxy.hush();
+        proxy.silence_open_connections();
     }
     // Nobody can tell whether it ran; unless the silence was noticed before it was sent.
     let answer = writer.run("WRITE farm second").await.unwrap();
     let code = answer.error.as_deref();
     expect_that!(code, any![none(), some(eq("UNKNOWN"))]);
-    read_until(&mut reader, None).await;
+    read_until_outcome(&mut reader, None).await;
     world
-        .write_until_done(&mut writer, "WRITE farm third")
+        .write_until_acknowledged(&mut writer, "WRITE farm third")
         .await;
-    let answer = read_until(&mut reader, None).await;
+    let answer = read_until_outcome(&mut reader, None).await;
     expect_that!(answer.rows, not(is_empty()));
     expect_that!(world.store.orders(), is_empty());
 }
@@ -56,10 +56,10 @@
     let mut writer = world.client(1, STRICT, "w").await;
     for round in 0..3 {
         for proxy in &proxies {
-            proxy.hush();
+            proxy.silence_open_connections();
         }
         world
-            .write_until_done(&mut writer, &format!("WRITE farm {round}"))
+            .write_until_acknowledged(&mut writer, &format!("WRITE farm {round}"))
             .await;
         expect_that!(world.boxes[1].is_ready().await, eq(true));
     }
@@ -91,8 +91,8 @@
 async fn a_box_that_waits_for_a_silent_peer_goes_on_meanwhile() {
     let peer = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let world = World::without_boxes().await;
-    world.store.set_fault(Fault::Busy);
-    let mut place = Place::new("box-0", "zone-0", world.store_address);
+    world.store.set_fault(Fault::Unavailable);
+    let mut place = Settings::new("box-0", "zone-0", world.store_address);
     place.seeds = vec![peer.local_addr().expect("bound")];
     let control = place.control;
     let _box = Process::start(place);
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -17,9 +17,9 @@
 use super::boxes::Process;
 use super::client::Client;
 use super::group::Group;
-use super::proxy::{Harm, Proxy};
+use super::proxy::{Impairment, Proxy};
 use super::store::Fault;
-use super::world::{BOUNDED, OWN, STRICT, World};
+use super::world::{BOUNDED, OWN_WRITES, STRICT, World};
 
 const BOXES: usize = 3;
 const CALLERS: usize = 9;
@@ -108,7 +108,7 @@
 /// One caller: opens sessions at random boxes, writes its own things and reads them.
 async fn call(watch: Arc<Watch>, number: usize, seed: u64) {
     let mut dice = SmallRng::seed_from_u64(seed ^ ((number as u64) << 32));
-    let databases = [STRICT, OWN, BOUNDED];
+    let databases = [STRICT, OWN_WRITES, BOUNDED];
     while !watch.stop.load(Ordering::SeqCst) {
         let front = watch.world.fronts[dice.random_range(0..BOXES)];
         let database = databases[number % databases.len()];
@@ -152,7 +152,7 @@
             client
                 .send(&format!("QUERY {id} WRITE {thing} {thing}:{number}"))
                 .await?;
-            let answer = client.answer().await;
+            let answer = client.read_answer().await;
             let promotions = watch.world.promotions();
             let mut history = watch.history.lock().expect("no panic under the lock");
             match answer.as_ref().map(|answer| answer.error.as_deref()) {
@@ -222,7 +222,7 @@
         0 => {
             world.boxes[index].kill();
             tokio::time::sleep(lasts / 4).await;
-            let place = world.boxes[index].place.clone();
+            let place = world.boxes[index].settings.clone();
             world.boxes[index] = Process::start(place);
             format!("kill box {index}")
         }
@@ -238,7 +238,7 @@
             while world.boxes[index].is_running() {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            let place = world.boxes[index].place.clone();
+            let place = world.boxes[index].settings.clone();
             world.boxes[index] = Process::start(place);
             format!("stop and start box {index}")
         }
@@ -247,13 +247,13 @@
             format!("reload box {index}")
         }
         4 => {
-            world.switch(&id).frozen.store(true, Ordering::SeqCst);
+            world.member(&id).frozen.store(true, Ordering::SeqCst);
             tokio::time::sleep(lasts).await;
-            world.switch(&id).frozen.store(false, Ordering::SeqCst);
+            world.member(&id).frozen.store(false, Ordering::SeqCst);
             format!("freeze {id} {lasts:?}")
         }
         5 => {
-            let switch = world.switch(&id);
+            let switch = world.member(&id);
             switch
                 .lose_answers
                 .store(dice.random_range(1..5), Ordering::SeqCst);
@@ -261,11 +261,11 @@
         }
         6 => {
             let lag = dice.random_range(1..400);
-            world.switch(&id).lag_ms.store(lag, Ordering::SeqCst);
+            world.member(&id).lag_ms.store(lag, Ordering::SeqCst);
             format!("{id} applies {lag} ms late")
         }
         7 => {
-            let faults = [Fault::Busy, Fault::Silent, Fault::LosesAnswers];
+            let faults = [Fault::Unavailable, Fault::Silent, Fault::LosesAnswers];
             let chosen = faults[dice.random_range(0..faults.len())];
             world.store.set_fault(chosen);
             tokio::time::sleep(lasts).await;
@@ -275,20 +275,25 @@
         8 => {
             world.store.forget_history();
             let step = dice.random_range(10..1_000);
-            world.change(step);
+            world.bump_manifest_version(step);
             "history forgotten, manifest changed".to_owned()
         }
         9 => {
-            proxies[member].hush();
+            proxies[member].silence_open_connections();
             format!("open connections to {id} go silent")
         }
         10 | 11 => older_copy(world, index, dice).await,
         _ => {
-            let harms = [Harm::Silent, Harm::OneWay, Harm::Reset, Harm::Delay(30)];
+            let harms = [
+                Impairment::Silent,
+                Impairment::OneWay,
+                Impairment::Reset,
+                Impairment::Delay(30),
+            ];
             let chosen = harms[dice.random_range(0..harms.len())];
-            proxies[member].set(chosen);
+            proxies[member].set_impairment(chosen);
             tokio::time::sleep(lasts).await;
-            proxies[member].set(Harm::None);
+            proxies[member].set_impairment(Impairment::None);
             format!("{id} behind {chosen:?} {lasts:?}")
         }
     }
@@ -305,21 +310,21 @@
         let again = Duration::from_millis(dice.random_range(0..1_500));
         let away = Duration::from_millis(dice.random_range(0..800));
         for _ in 0..dice.random_range(0..6) {
-            world.change(1);
+            world.bump_manifest_version(1);
         }
         world.store.set_fault(Fault::Silent);
         if killed {
             world.boxes[index].kill();
         }
         tokio::time::sleep(away).await;
-        world.store.restore_older(by, again);
+        world.store.restore_from_age(by, again);
         world.store.set_fault(Fault::None);
         if killed {
-            let place = world.boxes[index].place.clone();
+            let place = world.boxes[index].settings.clone();
             world.boxes[index] = Process::start(place);
         }
         for _ in 0..dice.random_range(0..3) {
-            world.change(1);
+            world.bump_manifest_version(1);
         }
     }
     let beside = if killed {
@@ -340,7 +345,7 @@
         world: Observed {
             group: world.group.clone(),
             store: world.store.clone(),
-            fronts: world.boxes.iter().map(|b| b.place.front).collect(),
+            fronts: world.boxes.iter().map(|b| b.settings.front).collect(),
         },
     });
     let callers: Vec<_> = (0..CALLERS)
@@ -384,7 +389,7 @@
             .filter(|line| line.contains("\"event\":3") || line.contains("\"event\":2"));
         let decided: Vec<&str> = decided.collect();
         let last = decided.len().saturating_sub(LAST_LINES);
-        format!("{}: {:?}", started.place.name, &decided[last..])
+        format!("{}: {:?}", started.settings.name, &decided[last..])
     });
     members.chain(logs).collect()
 }
@@ -395,7 +400,7 @@
     let added = world.add_database();
     // At the same time: one that is slow must not use up the others' time.
     let served = world.boxes.iter().map(|started| {
-        let front = started.place.front;
+        let front = started.settings.front;
         let added = added.as_str();
         tokio::time::timeout(APPLY, async move {
             while Client::connect(front, added, "soak").await.is_err() {
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -28,7 +28,7 @@
     #[default]
     None,
     /// Answers 503.
-    Busy,
+    Unavailable,
     /// Answers nobody.
     Silent,
     /// Does what is asked and answers nothing.
@@ -135,7 +135,7 @@
 
     /// Starts to serve at another address, where the rows, but not the promotions, are
     /// refused while the flag is set.
-    pub async fn start_apart(&self) -> (SocketAddr, Arc<AtomicBool>) {
+    pub async fn start_with_cut(&self) -> (SocketAddr, Arc<AtomicBool>) {
         let cut = Arc::new(AtomicBool::new(false));
         let gate = cut.clone();
         let router = self
@@ -185,12 +185,12 @@
     }
 
     /// Has one table answer nobody any more.
-    pub fn silence(&self, table: &str) {
+    pub fn silence_table(&self, table: &str) {
         self.rows().silent = Some(table.to_owned());
         self.changed.notify_waiters();
     }
 
-    pub fn end_silence(&self) {
+    pub fn end_table_silence(&self) {
         self.rows().silent = None;
         self.changed.notify_waiters();
     }
@@ -206,19 +206,19 @@
     }
 
     /// Names another era from now on, as answers do that were held up on their way.
-    pub fn name_era(&self, era: u64) {
+    pub fn set_era(&self, era: u64) {
         self.rows().era = era;
     }
 
     /// Has readings take several answers, with a copy of a version between the first two.
-    pub fn page_and_restore(&self, size: usize, version: u64) {
+    pub fn page_reads_and_restore(&self, size: usize, version: u64) {
         let mut rows = self.rows();
         rows.page = Some(size);
         rows.copy_meanwhile = Some(version);
     }
 
     /// Has readings take several answers, and a row be put between the first two.
-    pub fn page(&self, size: usize, meanwhile: (&str, &str, &Value)) {
+    pub fn page_reads_and_put(&self, size: usize, meanwhile: (&str, &str, &Value)) {
         let (table, key, value) = meanwhile;
         let mut rows = self.rows();
         rows.page = Some(size);
@@ -245,7 +245,7 @@
     }
 
     /// Waits until a row is there.
-    pub async fn wait_for(&self, table: &str, key: &str) {
+    pub async fn wait_for_row(&self, table: &str, key: &str) {
         let place = (table.to_owned(), key.to_owned());
         loop {
             let changed = self.changed.notified();
@@ -276,7 +276,7 @@
     }
 
     /// Comes back as a copy of so long ago.
-    pub fn restore_older(&self, by: Duration, again: Duration) {
+    pub fn restore_from_age(&self, by: Duration, again: Duration) {
         let version = {
             let rows = self.rows();
             let older = rows.written.iter().rev().find(|w| w.at.elapsed() >= by);
@@ -295,7 +295,7 @@
                 false => self.rows().fault,
             };
             match fault {
-                Fault::Busy => return Some(StatusCode::SERVICE_UNAVAILABLE.into_response()),
+                Fault::Unavailable => return Some(StatusCode::SERVICE_UNAVAILABLE.into_response()),
                 Fault::Silent => {}
                 Fault::None | Fault::LosesAnswers => return None,
             }
--- a/tests/platform/workspaces.rs
+++ b/tests/platform/workspaces.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 use super::client::Client;
-use super::world::{BOUNDED, OWN, STRICT, World, manifest};
+use super::world::{BOUNDED, OWN_WRITES, STRICT, World, manifest};
 
 const FIRST_KEY: &str = "tapjsujqurtyiikdrbn4";
 const SECOND_KEY: &str = "ryrbbkf83fgfwrz56aw6";
@@ -36,7 +36,7 @@
     routes.push(last);
     world.store.put("op", "config", &marked);
     for started in &world.boxes {
-        while Client::connect(started.place.front, &route, "probe")
+        while Client::connect(started.settings.front, &route, "probe")
             .await
             .is_err()
         {
@@ -54,7 +54,7 @@
 /// Whom members were told to run statements for, by the statements' ids.
 fn told(world: &World) -> Vec<(String, String)> {
     let members = world.members.iter();
-    let told = members.flat_map(|(_, _, switch)| switch.told.lock().unwrap().clone());
+    let told = members.flat_map(|(_, _, switch)| switch.caller_statements.lock().unwrap().clone());
     told.collect()
 }
 
@@ -62,11 +62,11 @@
 #[tokio::test]
 async fn an_unknown_key_is_refused_and_runs_nothing() {
     let world = start(1).await;
-    let front = world.boxes[0].place.front;
+    let front = world.boxes[0].settings.front;
     for key in ["stranger", "", "tapjsujqurtyiikdrbn4 x"] {
-        let mut raw = Client::raw(front, "raw").await.unwrap();
+        let mut raw = Client::connect_raw(front, "raw").await.unwrap();
         raw.send(&format!("CONNECT {STRICT} {key}")).await.unwrap();
-        let refused = raw.line().await.unwrap();
+        let refused = raw.read_line().await.unwrap();
         expect_that!(refused, starts_with("ERROR NOAUTH"), "{key:?}");
     }
     let refused = Client::connect(front, "nowhere", FIRST_KEY).await;
@@ -81,7 +81,7 @@
     let callers = [(FIRST_KEY, "miny420"), (OTHER_KEY, "sote991")];
     for round in 0..12 {
         for (key, name) in callers {
-            let mut client = world.client(round % 2, OWN, key).await;
+            let mut client = world.client(round % 2, OWN_WRITES, key).await;
             client.run(&format!("WRITE farm {round}")).await.unwrap();
             client.run("READ farm").await.unwrap();
             let own = told(&world);
@@ -135,7 +135,7 @@
         expect_that!(refused.error, some(eq("NOAUTH")));
     }
     expect_that!(open.run("COMMIT").await.unwrap().error, some(eq("ABORTED")));
-    let refused = Client::connect(world.boxes[0].place.front, STRICT, FIRST_KEY).await;
+    let refused = Client::connect(world.boxes[0].settings.front, STRICT, FIRST_KEY).await;
     expect_that!(refused.err(), some(starts_with("ERROR NOAUTH")));
     let read = kept.run("READ farm").await.unwrap();
     expect_that!(read.rows, elements_are![eq("none []")]);
@@ -153,9 +153,9 @@
         while !started.log().contains("\"event\":213") {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        let refused = Client::connect(started.place.front, STRICT, FIRST_KEY).await;
+        let refused = Client::connect(started.settings.front, STRICT, FIRST_KEY).await;
         expect_that!(refused.err(), some(starts_with("ERROR NOAUTH")));
-        let kept = Client::connect(started.place.front, STRICT, SECOND_KEY).await;
+        let kept = Client::connect(started.settings.front, STRICT, SECOND_KEY).await;
         expect_that!(kept.is_ok(), eq(true));
     }
 }
@@ -197,9 +197,9 @@
     put(&world, &document).await;
     let mut clients = Vec::new();
     for i in 0..3 {
-        clients.push(world.client(i, OWN, FIRST_KEY).await);
+        clients.push(world.client(i, OWN_WRITES, FIRST_KEY).await);
     }
-    let mut other = world.client(0, OWN, OTHER_KEY).await;
+    let mut other = world.client(0, OWN_WRITES, OTHER_KEY).await;
     let began = Instant::now();
     let mut ran = 0;
     let mut refused = 0;
@@ -229,7 +229,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_burst_above_a_limit_waits_for_its_turns() {
-    let world = World::under_pressure(3).await;
+    let world = World::with_pressure_rules(3).await;
     let mut document = with_workspaces(5, &[FIRST_KEY]);
     document["tenants"][0]["rate_per_s"] = json!(100);
     document["tenants"][0]["burst"] = json!(3);
@@ -240,7 +240,7 @@
     put(&world, &document).await;
     let mut clients = Vec::new();
     for i in 0..12 {
-        clients.push(world.client(i % 3, OWN, FIRST_KEY).await);
+        clients.push(world.client(i % 3, OWN_WRITES, FIRST_KEY).await);
     }
     let runs = clients.iter_mut().map(|client| client.run("READ farm"));
     let first = futures::future::join_all(runs).await;
--- a/tests/platform/world.rs
+++ b/tests/platform/world.rs
@@ -5,16 +5,16 @@
 
 use serde_json::{Value, json};
 
-use super::boxes::{Place, Process};
+use super::boxes::{Process, Settings};
 use super::client::Client;
 use super::group::Group;
-use super::member::{self, Switch};
+use super::member::{self, Handle};
 use super::proxy::Proxy;
 use super::store::Store;
 
 /// Databases that callers name, by what their reads must see.
 pub const STRICT: &str = "sales.example";
-pub const OWN: &str = "plots";
+pub const OWN_WRITES: &str = "plots";
 pub const BOUNDED: &str = "panel";
 
 const GROUP: &str = "db1";
@@ -25,10 +25,10 @@
     pub store: Store,
     pub store_address: SocketAddr,
     pub group: Group,
-    pub members: Vec<(String, SocketAddr, Switch)>,
+    pub members: Vec<(String, SocketAddr, Handle)>,
     pub boxes: Vec<Process>,
     /// Whether boxes that are added work under the rules on pressure.
-    pub under_pressure: bool,
+    pub with_pressure_rules: bool,
     /// Version of the newest manifest that [`World::change`] put.
     version: u64,
 }
@@ -43,7 +43,7 @@
     };
     json!({
         "version": version,
-        "routes": [route(STRICT, "primary"), route(OWN, "own_writes"), route(BOUNDED, "bounded"),
+        "routes": [route(STRICT, "primary"), route(OWN_WRITES, "own_writes"), route(BOUNDED, "bounded"),
             {"name": "r-none", "path_prefix": "/", "type": "primary", "backend": GROUP}],
         "services": [{"name": GROUP, "max_connections": CONNECTIONS, "sync_replicas": 0}],
         "limits": {"tx_idle_ms": 1_500, "idle_timeout_ms": 15_000},
@@ -57,9 +57,9 @@
     }
 
     /// The same under the platform's rules on pressure.
-    pub async fn under_pressure(boxes: usize) -> Self {
+    pub async fn with_pressure_rules(boxes: usize) -> Self {
         let mut world = Self::without_boxes().await;
-        world.under_pressure = true;
+        world.with_pressure_rules = true;
         world.with_boxes(boxes).await
     }
 
@@ -71,20 +71,20 @@
         for started in &world.boxes {
             started.wait_ready().await;
         }
-        world.wait_primary().await;
+        world.wait_for_primary().await;
         world
     }
 
     /// The same with a proxy before each member.
     pub async fn behind_proxies(boxes: usize, under_pressure: bool) -> (Self, Vec<Proxy>) {
         let mut world = Self::without_boxes().await;
-        world.under_pressure = under_pressure;
+        world.with_pressure_rules = under_pressure;
         let mut proxies = Vec::new();
         for (i, (id, address, _)) in world.members.iter().enumerate() {
             let proxy = Proxy::start(*address).await;
             world
                 .store
-                .put("servers", id, &entry(i, proxy.address, "ready"));
+                .put("servers", id, &member_entry(i, proxy.address, "ready"));
             proxies.push(proxy);
         }
         (world.with_boxes(boxes).await, proxies)
@@ -99,9 +99,9 @@
         store.put("op", "config", &manifest(3, 3_000));
         let mut members = Vec::new();
         for (i, id) in ids.iter().enumerate() {
-            let switch = Switch::default();
+            let switch = Handle::default();
             let address = member::start(group.clone(), id, CONNECTIONS, switch.clone()).await;
-            store.put("servers", id, &entry(i, address, "ready"));
+            store.put("servers", id, &member_entry(i, address, "ready"));
             members.push((id.clone(), address, switch));
         }
         let following = group.clone();
@@ -117,14 +117,14 @@
             group,
             members,
             boxes: Vec::new(),
-            under_pressure: false,
+            with_pressure_rules: false,
             version: 3,
         }
     }
 
     /// Puts a manifest that changes nothing, under a version that is by `step` later:
     /// operators' versions only rise.
-    pub fn change(&mut self, step: u64) {
+    pub fn bump_manifest_version(&mut self, step: u64) {
         self.version += step;
         let next = manifest(self.version, 3_000);
         self.store.put("op", "config", &next);
@@ -144,23 +144,23 @@
     }
 
     pub fn add_box(&mut self, i: usize) {
-        self.add_box_at(i, self.store_address);
+        self.add_box_with_store(i, self.store_address);
     }
 
     /// Adds a box that has an address of its own for the store.
-    pub fn add_box_at(&mut self, i: usize, store: SocketAddr) {
-        self.add_box_in(i, &format!("zone-{}", i % 3), store);
+    pub fn add_box_with_store(&mut self, i: usize, store: SocketAddr) {
+        self.add_box_in_zone(i, &format!("zone-{}", i % 3), store);
     }
 
     /// Adds a box to a failure domain.
-    pub fn add_box_in(&mut self, i: usize, zone: &str, store: SocketAddr) {
-        let mut place = Place::new(&format!("box-{i}"), zone, store);
-        place.under_pressure = self.under_pressure;
+    pub fn add_box_in_zone(&mut self, i: usize, zone: &str, store: SocketAddr) {
+        let mut place = Settings::new(&format!("box-{i}"), zone, store);
+        place.with_pressure_rules = self.with_pressure_rules;
         self.boxes.push(Process::start(place));
     }
 
     /// Waits until every box has seen the primary.
-    pub async fn wait_primary(&self) {
+    pub async fn wait_for_primary(&self) {
         for started in &self.boxes {
             while !started.dump().await.contains("\"primary\":\"") {
                 tokio::time::sleep(Duration::from_millis(10)).await;
@@ -169,34 +169,34 @@
     }
 
     pub async fn client(&self, i: usize, database: &str, name: &'static str) -> Client {
-        let front = self.boxes[i].place.front;
+        let front = self.boxes[i].settings.front;
         Client::connect(front, database, name)
             .await
             .expect("a ready box takes callers")
     }
 
-    pub fn switch(&self, id: &str) -> &Switch {
+    pub fn member(&self, id: &str) -> &Handle {
         let found = self.members.iter().find(|(known, _, _)| known == id);
         &found.expect("a member").2
     }
 
     /// Ends a member as a crash does.
-    pub fn crash(&self, id: &str) {
-        self.group.set_up(id, false);
-        self.switch(id).crash();
+    pub fn crash_member(&self, id: &str) {
+        self.group.set_running(id, false);
+        self.member(id).crash();
     }
 
     /// Says that a member is leaving.
-    pub fn drain(&self, id: &str) {
+    pub fn drain_member(&self, id: &str) {
         let i = self.members.iter().position(|(known, _, _)| known == id);
         let i = i.expect("a member");
         let address = self.members[i].1;
         self.store
-            .put("servers", id, &entry(i, address, "draining"));
+            .put("servers", id, &member_entry(i, address, "draining"));
     }
 
     /// Writes until it is acknowledged; the codes of what was not.
-    pub async fn write_until_done(&self, client: &mut Client, text: &str) -> Vec<String> {
+    pub async fn write_until_acknowledged(&self, client: &mut Client, text: &str) -> Vec<String> {
         let mut codes = Vec::new();
         loop {
             let answer = client.run(text).await.expect("the session goes on");
@@ -209,7 +209,7 @@
     }
 }
 
-pub fn entry(i: usize, address: SocketAddr, state: &str) -> Value {
+pub fn member_entry(i: usize, address: SocketAddr, state: &str) -> Value {
     json!({
         "backend": GROUP, "address": address.to_string(), "zone": format!("zone-{i}"),
         "version": "v1", "capacity": 3, "state": state, "cold_remaining_ms": 0,
