--- a/tests/platform/boxes.rs
+++ b/tests/platform/boxes.rs
@@ -1,4 +1,4 @@
-//! Boxes as real processes.
+//! Boxes that run as processes of their own.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Where a box listens, and what it is told.
+/// Where a box listens, and what its settings file holds.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub name: String,
@@ -22,20 +22,20 @@
     pub metrics: SocketAddr,
     pub store: SocketAddr,
     pub seeds: Vec<SocketAddr>,
-    /// The platform's rules on pressure and on shared connections are in force, and the loss
-    /// of a failure domain is to be borne.
+    /// Whether the platform's rules on pressure and on shared connections are in force and the
+    /// boxes must tolerate the loss of a failure domain.
     pub with_pressure_rules: bool,
 }
 
-/// An IP number that no other box of any test has.
-fn own_ip() -> Ipv4Addr {
+/// Returns a loopback address that no other box of any test uses.
+fn unique_ip() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let process = std::process::id();
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let nets = (process % 200) as u8;
+    let net = (process % 200) as u8;
     Ipv4Addr::new(
         127,
-        30 + nets,
+        30 + net,
         (number / 250) as u8,
         (number % 250) as u8 + 1,
     )
@@ -43,8 +43,8 @@
 
 impl Settings {
     pub fn new(name: &str, zone: &str, store: SocketAddr) -> Self {
-        let own_ip = own_ip();
-        let at = |port: u16| SocketAddr::from((own_ip, port));
+        let ip = unique_ip();
+        let at = |port: u16| SocketAddr::from((ip, port));
         Self {
             name: name.to_owned(),
             zone: zone.to_owned(),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The settings file's text, with fields that nobody knows.
+    /// Returns the text of the settings file, including fields that boxes don't know.
     pub fn yaml(&self) -> String {
         let seeds: Vec<String> = self
             .seeds
@@ -91,38 +91,39 @@
 pub struct Process {
     pub settings: Settings,
     child: Child,
-    file: PathBuf,
-    log: PathBuf,
+    settings_file: PathBuf,
+    log_file: PathBuf,
 }
 
 impl Process {
-    pub fn start(place: Settings) -> Self {
-        // A box that is started again must not lose its file to the end of the first.
-        static STARTS: AtomicU32 = AtomicU32::new(0);
-        let start = STARTS.fetch_add(1, Ordering::Relaxed);
+    pub fn start(settings: Settings) -> Self {
+        // Each start has a file of its own, since dropping an earlier process removes its file.
+        static NEXT: AtomicU32 = AtomicU32::new(0);
+        let start = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("larkfall-{}-{start}.yaml", std::process::id());
-        let file = std::env::temp_dir().join(name);
-        std::fs::write(&file, place.yaml()).expect("a settings file can be written");
+        let settings_file = std::env::temp_dir().join(name);
+        std::fs::write(&settings_file, settings.yaml()).expect("a settings file can be written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_larkfall"));
         command.arg("serve");
-        command.args(["--metrics-port", &place.metrics.port().to_string()]);
-        command.env("LARKFALL_NODE_FILE", &file);
-        let log = file.with_extension("log");
-        let output = std::fs::File::create(&log).expect("a log file can be written");
+        command.args(["--metrics-port", &settings.metrics.port().to_string()]);
+        command.env("LARKFALL_NODE_FILE", &settings_file);
+        let log_file = settings_file.with_extension("log");
+        let output = std::fs::File::create(&log_file).expect("a log file can be written");
         let child = command.stdout(Stdio::from(output)).spawn();
         Self {
-            settings: place,
+            settings,
             child: child.expect("a box starts"),
-            file,
-            log,
+            settings_file,
+            log_file,
         }
     }
 
-    /// Writes the settings file anew, with one text in place of another.
+    /// Rewrites the settings file with one text replaced by another.
     pub fn replace_in_settings(&self, from: &str, to: &str) {
         let text = self.settings.yaml();
-        assert!(text.contains(from), "{from:?} stands in the file");
-        std::fs::write(&self.file, text.replace(from, to)).expect("the file can be written");
+        assert!(text.contains(from), "{from:?} is in the file");
+        std::fs::write(&self.settings_file, text.replace(from, to))
+            .expect("the file can be written");
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -130,9 +131,9 @@
         kill(pid, signal).expect("the box runs");
     }
 
-    /// Ends the process at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -141,6 +142,7 @@
         matches!(self.child.try_wait(), Ok(None))
     }
 
+    /// Whether the readiness check answers 200.
     pub async fn is_ready(&self) -> bool {
         status_of(self.settings.ready, "/v1/readyz").await == Some(200)
     }
@@ -151,19 +153,19 @@
         }
     }
 
-    /// What the box has logged.
+    /// Returns what the box has logged so far.
     pub fn log(&self) -> String {
-        std::fs::read_to_string(&self.log).unwrap_or_default()
+        std::fs::read_to_string(&self.log_file).unwrap_or_default()
     }
 
-    /// Counters and histograms, as text.
+    /// Returns the box's metrics as text.
     pub async fn metrics(&self) -> String {
         get(self.settings.metrics, "/metrics")
             .await
             .unwrap_or_default()
     }
 
-    /// The box's own state, as JSON text.
+    /// Returns the box's state as JSON text.
     pub async fn dump(&self) -> String {
         get(self.settings.control, "/dump")
             .await
@@ -174,11 +176,12 @@
 impl Drop for Process {
     fn drop(&mut self) {
         self.kill();
-        let _ = std::fs::remove_file(&self.file);
-        let _ = std::fs::remove_file(&self.log);
+        let _ = std::fs::remove_file(&self.settings_file);
+        let _ = std::fs::remove_file(&self.log_file);
     }
 }
 
+/// Returns the whole answer to a GET, with status line and headers.
 async fn get(address: SocketAddr, path: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     let request = format!("GET {path} HTTP/1.1\r\nHost: box\r\nConnection: close\r\n\r\n");
--- a/tests/platform/client.rs
+++ b/tests/platform/client.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks lines.
+//! A caller that speaks the line protocol.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,30 +7,32 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// Nothing of ours takes longer; a test that waits this long has failed.
-const WAIT: Duration = Duration::from_secs(20);
+/// Longer than any answer of a box takes.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A whole answer.
+/// The whole answer to a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
     pub rows: Vec<String>,
-    /// Digest of a success.
+    /// Digest of a statement that succeeded.
     pub digest: Option<String>,
-    /// Code of an error.
+    /// Code of the error of a statement that failed.
     pub error: Option<String>,
+    /// Transaction state: `I` for idle, `T` in a transaction, `E` in a failed one.
     pub state: String,
 }
 
-/// An open session.
+/// A connection to a box.
 pub struct Client {
     lines: Lines<BufReader<OwnedReadHalf>>,
     write: OwnedWriteHalf,
-    next: u64,
+    /// Number of the last statement.
+    last: u64,
     name: &'static str,
 }
 
 impl Client {
-    /// Opens a session; the error is the line that refused it.
+    /// Opens a session. The error is the box's refusal.
     pub async fn connect(
         address: SocketAddr,
         database: &str,
@@ -40,29 +42,31 @@
         client.send(&format!("CONNECT {database} {name}")).await?;
         match client.read_line().await? {
             ready if ready.starts_with("READY I") => Ok(client),
-            other => Err(other),
+            refusal => Err(refusal),
         }
     }
 
-    /// A connection that has said nothing yet.
+    /// Opens a connection and sends nothing.
     pub async fn connect_raw(address: SocketAddr, name: &'static str) -> Result<Self, String> {
         let stream = TcpStream::connect(address).await;
         let (read, write) = stream.map_err(|error| error.to_string())?.into_split();
         Ok(Self {
             lines: BufReader::new(read).lines(),
             write,
-            next: 0,
+            last: 0,
             name,
         })
     }
 
+    /// Sends a line.
     pub async fn send(&mut self, line: &str) -> Result<(), String> {
         let sent = self.write.write_all(format!("{line}\r\n").as_bytes()).await;
         sent.map_err(|error| error.to_string())
     }
 
+    /// Reads a line.
     pub async fn read_line(&mut self) -> Result<String, String> {
-        let line = tokio::time::timeout(WAIT, self.lines.next_line()).await;
+        let line = tokio::time::timeout(ANSWER_TIMEOUT, self.lines.next_line()).await;
         let line = line.map_err(|_| "no answer".to_owned())?;
         let line = line.map_err(|error| error.to_string())?;
         line.ok_or_else(|| "closed".to_owned())
@@ -88,16 +92,16 @@
         }
     }
 
-    /// Runs one statement.
+    /// Runs a statement under the next id.
     pub async fn run(&mut self, text: &str) -> Result<Answer, String> {
-        self.next += 1;
-        let id = format!("{}-{}", self.name, self.next);
+        self.last += 1;
+        let id = format!("{}-{}", self.name, self.last);
         self.send(&format!("QUERY {id} {text}")).await?;
         self.read_answer().await
     }
 
-    /// Id of the last statement.
+    /// Returns the id of the last statement that was run.
     pub fn last_id(&self) -> String {
-        format!("{}-{}", self.name, self.next)
+        format!("{}-{}", self.name, self.last)
     }
 }
--- a/tests/platform/group.rs
+++ b/tests/platform/group.rs
@@ -1,11 +1,11 @@
-//! The logs of a group's members, and what moves entries between them.
+//! The logs of a group's members, replication between them, and promotion.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Time between an order to promote and the new primary.
-const PROMOTION: Duration = Duration::from_millis(60);
+/// Delay between an order to promote and the new primary.
+const PROMOTION_DELAY: Duration = Duration::from_millis(60);
 
 /// One committed write.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -17,48 +17,51 @@
     pub id: String,
 }
 
-/// A member's part of the group.
+/// The replication state of a member.
 #[derive(Clone, Debug, Default)]
 pub struct State {
     pub primary: bool,
     pub term: u64,
     pub log: Vec<Entry>,
-    /// When each entry came.
+    /// When each entry was received; none for the member's own entries.
     received: Vec<Option<Instant>>,
-    /// Term of the order to receive nothing, 0 for none.
+    /// Term of the fence under which the member receives nothing, 0 for none.
     pub fence_term: u64,
     pub running: bool,
 }
 
 impl State {
+    /// Returns the position at a log length.
     pub fn position(&self, length: usize) -> String {
         format!("{}.{length}", self.term)
     }
 
-    /// Entries that reads see, after this lag.
+    /// Returns the number of entries that reads see, given the time between receiving and
+    /// applying.
     pub fn applied(&self, lag: Duration) -> usize {
         let due = |received: &Option<Instant>| received.is_none_or(|at| at.elapsed() >= lag);
         self.received.iter().take_while(|at| due(at)).count()
     }
 
-    pub fn value(&self, thing: &str, applied: usize) -> Option<String> {
+    /// Returns the value of a key among the applied entries.
+    pub fn value(&self, key: &str, applied: usize) -> Option<String> {
         let entries = self.log[..applied].iter().rev();
-        let mut found = entries.filter(|entry| entry.key == thing);
+        let mut found = entries.filter(|entry| entry.key == key);
         found.next().map(|entry| entry.value.clone())
     }
 
-    pub fn append(&mut self, thing: &str, data: &str, id: &str) {
+    pub fn append(&mut self, key: &str, value: &str, id: &str) {
         self.log.push(Entry {
             term: self.term,
-            key: thing.to_owned(),
-            value: data.to_owned(),
+            key: key.to_owned(),
+            value: value.to_owned(),
             id: id.to_owned(),
         });
         self.received.push(None);
     }
 }
 
-/// A group of members that share nothing but this.
+/// The members of a group, shared between their stand-ins and the test.
 #[derive(Clone)]
 pub struct Group {
     pub name: String,
@@ -66,7 +69,7 @@
 }
 
 impl Group {
-    /// The first member is the primary of term 1.
+    /// Returns a group whose first member is the primary of term 1.
     pub fn new(name: &str, members: &[String]) -> Self {
         let state = |(i, id): (usize, &String)| {
             let state = State {
@@ -87,50 +90,50 @@
         self.members.lock().expect("no panic under the lock")
     }
 
-    /// What a member's log holds.
+    /// Returns a copy of a member's log.
     pub fn log(&self, id: &str) -> Vec<Entry> {
         self.members()[id].log.clone()
     }
 
-    pub fn set_running(&self, id: &str, up: bool) {
+    pub fn set_running(&self, id: &str, running: bool) {
         if let Some(state) = self.members().get_mut(id) {
-            state.running = up;
+            state.running = running;
         }
     }
 
-    /// The member that leads the newest term.
+    /// Returns the id of the running primary with the newest term; empty without one.
     pub fn primary(&self) -> String {
         let members = self.members();
-        let leads = members
+        let primaries = members
             .iter()
             .filter(|(_, state)| state.primary && state.running);
-        let newest = leads.max_by_key(|(_, state)| state.term);
+        let newest = primaries.max_by_key(|(_, state)| state.term);
         newest.map(|(id, _)| id.clone()).unwrap_or_default()
     }
 
-    /// Replicas that receive nothing.
+    /// Returns the ids of the fenced replicas.
     pub fn fenced(&self) -> Vec<String> {
         let members = self.members();
-        let held = members.iter().filter(|(_, state)| state.fence_term > 0);
-        held.map(|(id, _)| id.clone()).collect()
+        let fenced = members.iter().filter(|(_, state)| state.fence_term > 0);
+        fenced.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Brings what primaries hold to their replicas.
+    /// Copies the newest primary's log to its running replicas that aren't fenced.
     pub fn replicate(&self) {
         let mut members = self.members();
-        let leads = members
+        let primaries = members
             .values()
             .filter(|state| state.primary && state.running);
-        let Some(primary) = leads.max_by_key(|state| state.term).cloned() else {
+        let Some(primary) = primaries.max_by_key(|state| state.term).cloned() else {
             return;
         };
         for state in members.values_mut() {
-            let follows = state.running && !state.primary && state.fence_term == 0;
-            if !follows {
+            let receives = state.running && !state.primary && state.fence_term == 0;
+            if !receives {
                 continue;
             }
-            let same = state.log.len().min(primary.log.len());
-            let common = (0..same)
+            let shorter = state.log.len().min(primary.log.len());
+            let common = (0..shorter)
                 .take_while(|i| state.log[*i] == primary.log[*i])
                 .count();
             state.log.truncate(common);
@@ -143,20 +146,20 @@
         }
     }
 
-    /// Takes an order to promote; false when the member is not running.
+    /// Accepts an order to promote. Returns false when the member isn't running.
     pub fn promote(&self, id: &str) -> bool {
         let running = self.members().get(id).is_some_and(|state| state.running);
         if running {
             let (group, id) = (self.clone(), id.to_owned());
             tokio::spawn(async move {
-                tokio::time::sleep(PROMOTION).await;
-                group.lead(&id);
+                tokio::time::sleep(PROMOTION_DELAY).await;
+                group.become_primary(&id);
             });
         }
         running
     }
 
-    fn lead(&self, id: &str) {
+    fn become_primary(&self, id: &str) {
         let mut members = self.members();
         let newest = members.values().map(|state| state.term).max();
         let Some(state) = members.get_mut(id) else {
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,5 +1,5 @@
-//! Tests of boxes on the users' platform: real processes in front of small stand-ins
-//! for the platform's store and for members that speak lines.
+//! Tests of boxes on the users' platform: real processes in front of small stand-ins for
+//! the platform's store and for members that speak the line protocol.
 
 mod boxes;
 mod client;
--- a/tests/platform/member.rs
+++ b/tests/platform/member.rs
@@ -1,4 +1,4 @@
-//! A stand-in member: connections that speak lines before a group's logs.
+//! A stand-in for a member: serves the line protocol from the group's logs.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,25 +13,26 @@
 
 use super::group::Group;
 
-/// Faults and counts of one member, shared with the test.
+/// Faults to inject into a member and records of its work, shared with the test.
 #[derive(Clone)]
 pub struct Handle {
-    /// Answers nobody, and takes nobody.
+    /// Whether the member stops answering, on open and new connections.
     pub frozen: Arc<AtomicBool>,
-    /// Answers to statements that are thrown away after they ran.
+    /// Number of the next statements of callers after which the connection closes unanswered.
     pub lose_answers: Arc<AtomicU64>,
-    /// Breaks off in the middle of this many rows.
+    /// Number of the next answers with rows that are cut off within the first row.
     pub truncate_rows: Arc<AtomicU64>,
-    /// Time from receiving to applying, in milliseconds.
+    /// Time between receiving and applying an entry.
     pub lag_ms: Arc<AtomicU64>,
-    /// Connections open now, and the most there were.
+    /// Connections that are open now.
     pub open_connections: Arc<AtomicUsize>,
+    /// The most connections that were open at once.
     pub peak_connections: Arc<AtomicUsize>,
-    /// Reads that it ran.
+    /// Number of reads that the member ran.
     pub reads: Arc<AtomicU64>,
-    /// All that was asked, in order.
+    /// Texts of all statements, in the order in which they arrived.
     pub statements: Arc<Mutex<Vec<String>>>,
-    /// Who was told to call, and the statement's id, for all statements of callers.
+    /// Name in the connection's CONNECT line and statement id, for all statements of callers.
     pub caller_statements: Arc<Mutex<Vec<(String, String)>>>,
     stop: Arc<Notify>,
     slots: Arc<Semaphore>,
@@ -56,126 +57,131 @@
 }
 
 impl Handle {
-    /// Ends the listener and all connections, as a crash does.
+    /// Ends the listener and all connections abruptly.
     pub fn crash(&self) {
         self.stop.notify_waiters();
     }
 
-    fn takes(&self, counter: &AtomicU64) -> bool {
-        let less = |left: u64| left.checked_sub(1);
+    /// Decrements the counter of a fault. Returns false when the counter is zero.
+    fn consume(&self, counter: &AtomicU64) -> bool {
+        let decrement = |left: u64| left.checked_sub(1);
         let order = Ordering::SeqCst;
-        counter.fetch_update(order, order, less).is_ok()
+        counter.fetch_update(order, order, decrement).is_ok()
     }
 
-    async fn thaw(&self) {
+    /// Waits while the member is frozen.
+    async fn wait_while_frozen(&self) {
         while self.frozen.load(Ordering::SeqCst) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 }
 
-/// Starts a member; returns its address.
-pub async fn start(group: Group, id: &str, connections: usize, switch: Handle) -> SocketAddr {
+/// Starts a member that accepts this many connections at once, and returns its address.
+pub async fn start(group: Group, id: &str, connections: usize, handle: Handle) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     let id = id.to_owned();
     tokio::spawn(async move {
         loop {
-            let stopped = switch.stop.notified();
+            let stopped = handle.stop.notified();
             let stream = tokio::select! {
                 accepted = listener.accept() => accepted.expect("accepts").0,
                 () = stopped => return,
             };
-            let (group, id, switch) = (group.clone(), id.clone(), switch.clone());
+            let (group, id, handle) = (group.clone(), id.clone(), handle.clone());
             tokio::spawn(async move {
-                let stop = switch.stop.clone();
-                let open = switch.open_connections.fetch_add(1, Ordering::SeqCst) + 1;
-                switch.peak_connections.fetch_max(open, Ordering::SeqCst);
+                let stop = handle.stop.clone();
+                let open = handle.open_connections.fetch_add(1, Ordering::SeqCst) + 1;
+                handle.peak_connections.fetch_max(open, Ordering::SeqCst);
                 let full = open > connections;
-                let session = serve(group, id, switch.clone(), stream, full);
+                let session = serve(group, id, handle.clone(), stream, full);
                 tokio::select! {
                     _ = session => {}
                     () = stop.notified() => {}
                 }
-                switch.open_connections.fetch_sub(1, Ordering::SeqCst);
+                handle.open_connections.fetch_sub(1, Ordering::SeqCst);
             });
         }
     });
     address
 }
 
-/// A connection's own state.
+/// The state of a connection.
 #[derive(Default)]
 struct Session {
+    /// Statement id, key and value of each write in the open transaction.
     transaction: Option<Vec<(String, String, String)>>,
     read_only: bool,
     failed: bool,
     values: HashMap<String, String>,
+    /// Mode and value prefix of each prepared statement, by name.
     prepared: HashMap<String, (String, String)>,
 }
 
 struct Member {
     group: Group,
     id: String,
-    switch: Handle,
+    handle: Handle,
 }
 
 async fn serve(
     group: Group,
     id: String,
-    switch: Handle,
+    handle: Handle,
     stream: TcpStream,
     full: bool,
 ) -> std::io::Result<()> {
     let (read, mut write): (OwnedReadHalf, OwnedWriteHalf) = stream.into_split();
     let mut lines = BufReader::new(read).lines();
-    switch.thaw().await;
-    let Some(hello) = lines.next_line().await? else {
+    handle.wait_while_frozen().await;
+    let Some(connect) = lines.next_line().await? else {
         return Ok(());
     };
-    switch.thaw().await;
-    let words: Vec<&str> = hello.split(' ').collect();
-    let wrong = words.get(1) != Some(&&*group.name) || words.get(3).is_some_and(|w| **w != *id);
-    if wrong {
+    handle.wait_while_frozen().await;
+    let words: Vec<&str> = connect.split(' ').collect();
+    let wrong_node =
+        words.get(1) != Some(&&*group.name) || words.get(3).is_some_and(|w| **w != *id);
+    if wrong_node {
         return write.write_all(b"ERROR WRONGNODE another\r\n").await;
     }
     if full {
         return write.write_all(b"ERROR OVERLOAD full\r\n").await;
     }
     write.write_all(b"READY I -\r\n").await?;
-    let who = words.get(2).copied().unwrap_or_default().to_owned();
-    let member = Member { group, id, switch };
+    let caller = words.get(2).copied().unwrap_or_default().to_owned();
+    let member = Member { group, id, handle };
     let mut session = Session::default();
     while let Some(line) = lines.next_line().await? {
-        member.switch.thaw().await;
+        member.handle.wait_while_frozen().await;
         let Some(query) = line.strip_prefix("QUERY ") else {
             return Ok(());
         };
         let (query_id, text) = query.split_once(' ').unwrap_or((query, ""));
-        let asked = &member.switch.statements;
-        asked
+        let statements = &member.handle.statements;
+        statements
             .lock()
             .expect("no panic under the lock")
             .push(text.to_owned());
         if query_id != "-" {
-            let told = (who.clone(), query_id.to_owned());
-            let all = &member.switch.caller_statements;
-            all.lock().expect("no panic under the lock").push(told);
+            let statement = (caller.clone(), query_id.to_owned());
+            let all = &member.handle.caller_statements;
+            all.lock().expect("no panic under the lock").push(statement);
         }
         let answer = {
-            let _slot = member.switch.slots.acquire().await.expect("never closed");
+            let _slot = member.handle.slots.acquire().await.expect("never closed");
             member.run(&mut session, query_id, text)
         };
-        member.switch.thaw().await;
-        if query_id != "-" && member.switch.takes(&member.switch.lose_answers) {
+        member.handle.wait_while_frozen().await;
+        if query_id != "-" && member.handle.consume(&member.handle.lose_answers) {
             return Ok(());
         }
-        if answer.starts_with("DATA") && member.switch.takes(&member.switch.truncate_rows) {
+        if answer.starts_with("DATA") && member.handle.consume(&member.handle.truncate_rows) {
             return write.write_all(&answer.as_bytes()[..4]).await;
         }
-        let state = member.state(&session);
+        let ready = member.ready_line(&session);
         write
-            .write_all(format!("{answer}{state}").as_bytes())
+            .write_all(format!("{answer}{ready}").as_bytes())
             .await?;
     }
     Ok(())
@@ -185,10 +191,11 @@
 
 impl Member {
     fn lag(&self) -> Duration {
-        Duration::from_millis(self.switch.lag_ms.load(Ordering::SeqCst))
+        Duration::from_millis(self.handle.lag_ms.load(Ordering::SeqCst))
     }
 
-    fn state(&self, session: &Session) -> String {
+    /// Returns the line that ends an answer: transaction state and applied position.
+    fn ready_line(&self, session: &Session) -> String {
         let members = self.group.members();
         let state = &members[&self.id];
         let letter = match (&session.transaction, session.failed) {
@@ -200,6 +207,7 @@
         format!("READY {letter} {position}\r\n")
     }
 
+    /// Runs a statement and returns its answer.
     fn run(&self, session: &mut Session, id: &str, text: &str) -> String {
         let (verb, rest) = text.split_once(' ').unwrap_or((text, ""));
         let (first, tail) = rest.split_once(' ').unwrap_or((rest, ""));
@@ -208,7 +216,7 @@
             "STATUS" => self.status(),
             "PAUSE" => self.pause(first.parse().unwrap_or_default()),
             "RESUME" => {
-                self.with(|state| state.fence_term = 0);
+                self.with_state(|state| state.fence_term = 0);
                 self.status()
             }
             "STEPDOWN" => self.step_down(first.parse().unwrap_or_default()),
@@ -222,8 +230,8 @@
                 DONE.to_owned()
             }
             "PREPARE" => {
-                let (mode, shape) = tail.split_once(' ').unwrap_or((tail, ""));
-                let statement = (mode.to_owned(), shape.to_owned());
+                let (mode, prefix) = tail.split_once(' ').unwrap_or((tail, ""));
+                let statement = (mode.to_owned(), prefix.to_owned());
                 session.prepared.insert(first.to_owned(), statement);
                 DONE.to_owned()
             }
@@ -241,9 +249,10 @@
         }
     }
 
-    fn with<T>(&self, change: impl FnOnce(&mut super::group::State) -> T) -> T {
+    /// Gives access to the member's replication state.
+    fn with_state<T>(&self, access: impl FnOnce(&mut super::group::State) -> T) -> T {
         let mut members = self.group.members();
-        change(members.get_mut(&self.id).expect("a member of its group"))
+        access(members.get_mut(&self.id).expect("a member of its group"))
     }
 
     fn after(&self, session: &mut Session, id: &str, floor: &str, text: &str) -> String {
@@ -252,15 +261,15 @@
             .and_then(|(_, index)| index.parse().ok())
             .unwrap_or_default();
         let lag = self.lag();
-        match self.with(|state| state.applied(lag) >= index) {
+        match self.with_state(|state| state.applied(lag) >= index) {
             true => self.run(session, id, text),
             false => "ERROR LAGGING behind\r\n".to_owned(),
         }
     }
 
     fn status(&self) -> String {
-        let open = self.switch.open_connections.load(Ordering::SeqCst);
-        self.with(|state| {
+        let open = self.handle.open_connections.load(Ordering::SeqCst);
+        self.with_state(|state| {
             let role = if state.primary { "primary" } else { "replica" };
             let position = state.position(state.log.len());
             format!(
@@ -271,26 +280,26 @@
     }
 
     fn pause(&self, term: u64) -> String {
-        let taken = self.with(|state| {
-            let taken = !state.primary && term > state.term;
-            if taken {
+        let accepted = self.with_state(|state| {
+            let accepted = !state.primary && term > state.term;
+            if accepted {
                 state.fence_term = term;
             }
-            taken
+            accepted
         });
-        match taken {
+        match accepted {
             true => self.status(),
             false => "ERROR MALFORMED not above the newest\r\n".to_owned(),
         }
     }
 
     fn step_down(&self, term: u64) -> String {
-        self.with(|state| state.primary &= term <= state.term);
+        self.with_state(|state| state.primary &= term <= state.term);
         self.status()
     }
 
     fn begin(&self, session: &mut Session, read_only: bool) -> String {
-        if !read_only && !self.with(|state| state.primary) {
+        if !read_only && !self.with_state(|state| state.primary) {
             return format!("ERROR READONLY {}\r\n", self.id);
         }
         session.transaction = Some(Vec::new());
@@ -303,25 +312,25 @@
         if std::mem::take(&mut session.failed) {
             return "ERROR ABORTED it had failed\r\n".to_owned();
         }
-        if !writes.is_empty() && !self.with(|state| state.primary) {
+        if !writes.is_empty() && !self.with_state(|state| state.primary) {
             return format!("ERROR READONLY {}\r\n", self.id);
         }
-        self.with(|state| {
-            for (id, thing, data) in &writes {
-                state.append(thing, data, id);
+        self.with_state(|state| {
+            for (id, key, value) in &writes {
+                state.append(key, value, id);
             }
         });
         self.group.replicate();
         format!("COMPLETE commit.{}\r\n", self.id)
     }
 
-    fn read(&self, session: &Session, thing: &str) -> String {
-        self.switch.reads.fetch_add(1, Ordering::SeqCst);
+    fn read(&self, session: &Session, key: &str) -> String {
+        self.handle.reads.fetch_add(1, Ordering::SeqCst);
         let lag = self.lag();
-        let value = self.with(|state| state.value(thing, state.applied(lag)));
+        let value = self.with_state(|state| state.value(key, state.applied(lag)));
         let open = session.transaction.iter().flatten();
-        let mut own = open.rev().filter(|(_, written, _)| written == thing);
-        let value = own.next().map(|(_, _, data)| data.clone()).or(value);
+        let mut written = open.rev().filter(|(_, written, _)| written == key);
+        let value = written.next().map(|(_, _, value)| value.clone()).or(value);
         let value = value.unwrap_or_else(|| "none".to_owned());
         let mut values: Vec<String> = session
             .values
@@ -333,15 +342,17 @@
         format!("DATA {value} [{values}]\r\nCOMPLETE read.{}\r\n", self.id)
     }
 
-    fn write(&self, session: &mut Session, id: &str, thing: &str, data: &str) -> String {
-        if session.read_only && session.transaction.is_some() || !self.with(|state| state.primary) {
+    fn write(&self, session: &mut Session, id: &str, key: &str, value: &str) -> String {
+        if session.read_only && session.transaction.is_some()
+            || !self.with_state(|state| state.primary)
+        {
             session.failed = session.transaction.is_some();
             return format!("ERROR READONLY {}\r\n", self.id);
         }
         match &mut session.transaction {
-            Some(writes) => writes.push((id.to_owned(), thing.to_owned(), data.to_owned())),
+            Some(writes) => writes.push((id.to_owned(), key.to_owned(), value.to_owned())),
             None => {
-                self.with(|state| state.append(thing, data, id));
+                self.with_state(|state| state.append(key, value, id));
                 self.group.replicate();
             }
         }
@@ -349,13 +360,13 @@
     }
 
     fn execute(&self, session: &mut Session, id: &str, name: &str, arguments: &str) -> String {
-        let Some((mode, shape)) = session.prepared.get(name).cloned() else {
+        let Some((mode, prefix)) = session.prepared.get(name).cloned() else {
             return "ERROR NOSTMT unknown\r\n".to_owned();
         };
-        let (thing, data) = arguments.split_once(' ').unwrap_or((arguments, ""));
+        let (key, value) = arguments.split_once(' ').unwrap_or((arguments, ""));
         match &*mode {
-            "READ" => self.read(session, thing),
-            _ => self.write(session, id, thing, &format!("{shape}:{data}")),
+            "READ" => self.read(session, key),
+            _ => self.write(session, id, key, &format!("{prefix}:{value}")),
         }
     }
 }
--- a/tests/platform/proxy.rs
+++ b/tests/platform/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms connections from outside the processes.
+//! A loopback proxy that impairs connections between processes.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,89 +10,94 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What the proxy does to all its connections.
+/// How the proxy impairs all its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Impairment {
     #[default]
     None,
-    /// Each piece waits so many milliseconds.
+    /// Delays each chunk by this many milliseconds.
     Delay(u64),
-    /// Nothing passes either way; it is kept and passes later.
+    /// Holds back all bytes, in both directions, until the impairment ends.
     Silent,
-    /// Answers do not pass; they are kept and pass later.
+    /// Holds back bytes from the upstream until the impairment ends.
     OneWay,
-    /// Connections are closed, and new ones too.
+    /// Closes open and new connections.
     Reset,
 }
 
-/// A proxy before one address.
+/// A proxy in front of one address.
 #[derive(Clone)]
 pub struct Proxy {
     pub address: SocketAddr,
-    harm: Arc<Mutex<watch::Sender<Impairment>>>,
-    /// How often the connections open at the time went silent.
-    hushed: Arc<AtomicU64>,
+    impairment: Arc<Mutex<watch::Sender<Impairment>>>,
+    /// Number of times that the open connections were silenced.
+    silenced: Arc<AtomicU64>,
 }
 
 impl Proxy {
     pub async fn start(upstream: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let (harm, seen) = watch::channel(Impairment::None);
-        let hushed = Arc::new(AtomicU64::new(0));
-        let counted = hushed.clone();
+        let (impairment, receiver) = watch::channel(Impairment::None);
+        let silenced = Arc::new(AtomicU64::new(0));
+        let count = silenced.clone();
         tokio::spawn(async move {
             while let Ok((caller, _)) = listener.accept().await {
-                let seen = seen.clone();
-                let hush = Hush::new(counted.clone());
+                let receiver = receiver.clone();
+                let silence = Silence::new(count.clone());
                 tokio::spawn(async move {
-                    let _ = carry(caller, upstream, seen, hush).await;
+                    let _ = forward(caller, upstream, receiver, silence).await;
                 });
             }
         });
         Self {
             address,
-            harm: Arc::new(Mutex::new(harm)),
-            hushed,
+            impairment: Arc::new(Mutex::new(impairment)),
+            silenced,
         }
     }
 
-    /// All connections that are open now carry nothing any more; new ones work.
+    /// Discards all bytes on the connections that are open now; new ones work.
     pub fn silence_open_connections(&self) {
-        self.hushed.fetch_add(1, Ordering::SeqCst);
+        self.silenced.fetch_add(1, Ordering::SeqCst);
     }
 
-    pub fn set_impairment(&self, harm: Impairment) {
-        let sender = self.harm.lock().expect("no panic under the lock");
-        sender.send_replace(harm);
+    pub fn set_impairment(&self, impairment: Impairment) {
+        let sender = self.impairment.lock().expect("no panic under the lock");
+        sender.send_replace(impairment);
     }
 }
 
-/// Whether one connection went silent for good.
+/// Tells whether a connection has been silenced for good.
 #[derive(Clone)]
-struct Hush {
+struct Silence {
     count: Arc<AtomicU64>,
-    opened: u64,
+    /// Count at the opening of the connection.
+    count_at_open: u64,
 }
 
-impl Hush {
+impl Silence {
     fn new(count: Arc<AtomicU64>) -> Self {
-        let opened = count.load(Ordering::SeqCst);
-        Self { count, opened }
+        let count_at_open = count.load(Ordering::SeqCst);
+        Self {
+            count,
+            count_at_open,
+        }
     }
 
     fn is_silent(&self) -> bool {
-        self.count.load(Ordering::SeqCst) > self.opened
+        self.count.load(Ordering::SeqCst) > self.count_at_open
     }
 }
 
-async fn carry(
+/// Forwards a connection until either side closes or the proxy resets it.
+async fn forward(
     caller: TcpStream,
     upstream: SocketAddr,
-    harm: watch::Receiver<Impairment>,
-    hush: Hush,
+    impairment: watch::Receiver<Impairment>,
+    silence: Silence,
 ) -> std::io::Result<()> {
-    if *harm.borrow() == Impairment::Reset {
+    if *impairment.borrow() == Impairment::Reset {
         return Ok(());
     }
     let member = TcpStream::connect(upstream).await?;
@@ -100,23 +105,30 @@
     member.set_nodelay(true)?;
     let (from_caller, to_caller) = caller.into_split();
     let (from_member, to_member) = member.into_split();
-    let mut reset = harm.clone();
+    let mut reset = impairment.clone();
     let held: &[Impairment] = &[Impairment::Silent, Impairment::OneWay];
-    let there = pass(from_caller, to_member, harm.clone(), &held[..1], &hush);
-    let back = pass(from_member, to_caller, harm, held, &hush);
+    let outbound = copy(
+        from_caller,
+        to_member,
+        impairment.clone(),
+        &held[..1],
+        &silence,
+    );
+    let inbound = copy(from_member, to_caller, impairment, held, &silence);
     tokio::select! {
-        done = there => done,
-        done = back => done,
-        _ = reset.wait_for(|harm| *harm == Impairment::Reset) => Ok(()),
+        done = outbound => done,
+        done = inbound => done,
+        _ = reset.wait_for(|impairment| *impairment == Impairment::Reset) => Ok(()),
     }
 }
 
-async fn pass(
+/// Copies bytes in one direction, held back during the impairments `held`.
+async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut harm: watch::Receiver<Impairment>,
+    mut impairment: watch::Receiver<Impairment>,
     held: &[Impairment],
-    hush: &Hush,
+    silence: &Silence,
 ) -> std::io::Result<()> {
     let mut bytes = vec![0; 16 * 1024];
     loop {
@@ -124,14 +136,18 @@
         if count == 0 {
             return Ok(());
         }
-        if harm.wait_for(|harm| !held.contains(harm)).await.is_err() {
+        if impairment
+            .wait_for(|impairment| !held.contains(impairment))
+            .await
+            .is_err()
+        {
             return Ok(());
         }
-        if hush.is_silent() {
+        if silence.is_silent() {
             continue;
         }
-        let now = *harm.borrow();
-        if let Impairment::Delay(ms) = now {
+        let current = *impairment.borrow();
+        if let Impairment::Delay(ms) = current {
             tokio::time::sleep(Duration::from_millis(ms)).await;
         }
         to.write_all(&bytes[..count]).await?;
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's store and for the place that takes promotions.
+//! A stand-in for the platform's store and for its endpoint for promotions.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -22,52 +22,54 @@
 
 use super::group::Group;
 
-/// What is wrong with the store.
+/// A fault of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     #[default]
     None,
-    /// Answers 503.
+    /// Answers 503 to all requests.
     Unavailable,
-    /// Answers nobody.
+    /// Leaves all requests waiting.
     Silent,
-    /// Does what is asked and answers nothing.
+    /// Executes transactions without answering them.
     LosesAnswers,
 }
 
-const ERA: &str = "store-era";
+const ERA_HEADER: &str = "store-era";
 
-/// A write, from which an older copy is made.
-struct Written {
-    at: Instant,
+/// A write to a row, kept so that an earlier state can be restored.
+struct Write {
+    written_at: Instant,
     version: u64,
-    place: (String, String),
+    row_key: (String, String),
     value: Option<String>,
-    /// By the operator or a member, who write again what an older copy lacks.
-    theirs: bool,
+    /// Whether the test wrote the row in the place of the operator or a member, who repeat
+    /// writes that a restored store lacks.
+    external: bool,
 }
 
 #[derive(Default)]
 struct Rows {
-    /// Counts the copies that the store came back as.
+    /// Number of times that the store was restored.
     era: u64,
     version: u64,
-    written: Vec<Written>,
-    /// By table and key; none for a removed row.
+    written: Vec<Write>,
+    /// Version and value by table and key; no value for a removed row.
     rows: BTreeMap<(String, String), (u64, Option<String>)>,
-    /// Answers so far, refusals too.
+    /// Number of answers so far, including refusals.
     calls: u64,
-    /// Changes up to this version are forgotten.
-    forgotten: u64,
+    /// The feed answers 410 for positions before this version.
+    history_start: u64,
     fault: Fault,
-    /// A table that answers nobody.
-    silent: Option<String>,
-    /// Rows of one answer to a reading; none for all.
-    page: Option<usize>,
-    /// Version of a copy that the store becomes right after the next page that is not the last.
-    copy_meanwhile: Option<u64>,
-    /// A row that is put right after the next page that is not the last.
-    meanwhile: Option<(String, String, Value)>,
+    /// A table whose requests are left waiting.
+    silent_table: Option<String>,
+    /// Most rows in one page of a read; none for no limit.
+    page_size: Option<usize>,
+    /// Version to restore right after the next page that isn't the last of its read.
+    restore_after_page: Option<u64>,
+    /// Table, key and value of a row to put right after the next page that isn't the last of
+    /// its read.
+    put_after_page: Option<(String, String, Value)>,
 }
 
 impl Rows {
@@ -76,45 +78,48 @@
         self.set((table.to_owned(), key.to_owned()), value, true);
     }
 
-    fn set(&mut self, place: (String, String), value: Option<String>, theirs: bool) {
-        self.written.push(Written {
-            at: Instant::now(),
+    /// Sets a row at the current version.
+    fn set(&mut self, row_key: (String, String), value: Option<String>, external: bool) {
+        self.written.push(Write {
+            written_at: Instant::now(),
             version: self.version,
-            place: place.clone(),
+            row_key: row_key.clone(),
             value: value.clone(),
-            theirs,
+            external,
         });
-        self.rows.insert(place, (self.version, value));
+        self.rows.insert(row_key, (self.version, value));
     }
 
-    /// Becomes the copy that was made at a version. Returns the last of what others wrote
-    /// since, by place.
+    /// Restores the state at a version under a new era. Returns the newest external writes since
+    /// then, by table and key.
     fn restore(&mut self, version: u64) -> BTreeMap<(String, String), Option<String>> {
         let kept = self.written.iter().take_while(|w| w.version <= version);
         let lost = self.written.split_off(kept.count());
         self.era += 1;
         self.version = version;
-        self.forgotten = self.forgotten.min(version);
+        self.history_start = self.history_start.min(version);
         self.rows.clear();
         for written in &self.written {
             let row = (written.version, written.value.clone());
-            self.rows.insert(written.place.clone(), row);
+            self.rows.insert(written.row_key.clone(), row);
         }
-        let theirs = lost.into_iter().filter(|written| written.theirs);
-        theirs.map(|w| (w.place, w.value)).collect()
+        let external = lost.into_iter().filter(|written| written.external);
+        external.map(|w| (w.row_key, w.value)).collect()
     }
 }
 
-/// A promotion as it was ordered.
+/// An order to promote a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     pub group: String,
     pub member: String,
+    /// Holder of the duty under which the order was sent.
     pub holder: String,
+    /// Fencing token of the order.
     pub generation: u64,
 }
 
-/// The store and the promotions, shared with the test.
+/// The store and the orders that its promotion endpoint received, shared with the test.
 #[derive(Clone, Default)]
 pub struct Store {
     rows: Arc<Mutex<Rows>>,
@@ -128,21 +133,21 @@
         self.rows.lock().expect("no panic under the lock")
     }
 
-    /// Starts to serve; returns the address.
+    /// Starts serving and returns the address.
     pub async fn start(&self) -> SocketAddr {
         Self::serve(self.router()).await
     }
 
-    /// Starts to serve at another address, where the rows, but not the promotions, are
-    /// refused while the flag is set.
+    /// Starts serving at another address, where requests for rows are refused while the returned
+    /// flag is set. Promotions aren't refused.
     pub async fn start_with_cut(&self) -> (SocketAddr, Arc<AtomicBool>) {
         let cut = Arc::new(AtomicBool::new(false));
-        let gate = cut.clone();
+        let is_cut = cut.clone();
         let router = self
             .router()
             .layer(from_fn(move |request: Request, next: Next| {
                 let refused =
-                    gate.load(Ordering::SeqCst) && request.uri().path().starts_with("/v1/");
+                    is_cut.load(Ordering::SeqCst) && request.uri().path().starts_with("/v1/");
                 async move {
                     match refused {
                         true => StatusCode::SERVICE_UNAVAILABLE.into_response(),
@@ -158,7 +163,7 @@
             .route("/v1/rows-get", get(read))
             .route("/v1/rows-feed", get(feed))
             .route("/v1/rows-tx", post(transact))
-            .layer(map_response_with_state(self.clone(), name_era))
+            .layer(map_response_with_state(self.clone(), add_era))
             .route("/promote", post(promote))
             .with_state(self.clone())
     }
@@ -170,11 +175,13 @@
         address
     }
 
+    /// Accepts promotions of a group's members.
     pub fn add_group(&self, group: Group) {
         let mut groups = self.groups.lock().expect("no panic under the lock");
         groups.insert(group.name.clone(), group);
     }
 
+    /// Returns all orders to promote so far.
     pub fn orders(&self) -> Vec<Order> {
         self.orders.lock().expect("no panic under the lock").clone()
     }
@@ -184,72 +191,77 @@
         self.changed.notify_waiters();
     }
 
-    /// Has one table answer nobody any more.
+    /// Leaves requests for a table waiting from now on.
     pub fn silence_table(&self, table: &str) {
-        self.rows().silent = Some(table.to_owned());
+        self.rows().silent_table = Some(table.to_owned());
         self.changed.notify_waiters();
     }
 
+    /// Answers requests for the silenced table again.
     pub fn end_table_silence(&self) {
-        self.rows().silent = None;
+        self.rows().silent_table = None;
         self.changed.notify_waiters();
     }
 
+    /// Puts a row in the place of the operator or a member.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         self.put_raw(table, key, Some(BASE64.encode(value.to_string())));
     }
 
-    /// Puts a value that need be no base64, or removes the row.
+    /// Puts a row with a value that is sent as it is, or removes the row.
     pub fn put_raw(&self, table: &str, key: &str, value: Option<String>) {
         self.rows().put(table, key, value);
         self.changed.notify_waiters();
     }
 
-    /// Names another era from now on, as answers do that were held up on their way.
+    /// Names this era in all answers from now on, without a change to the rows. An earlier era is
+    /// what delayed answers name.
     pub fn set_era(&self, era: u64) {
         self.rows().era = era;
     }
 
-    /// Has readings take several answers, with a copy of a version between the first two.
+    /// Splits reads into pages of this size, and restores a version between the first two pages
+    /// of the next read.
     pub fn page_reads_and_restore(&self, size: usize, version: u64) {
         let mut rows = self.rows();
-        rows.page = Some(size);
-        rows.copy_meanwhile = Some(version);
+        rows.page_size = Some(size);
+        rows.restore_after_page = Some(version);
     }
 
-    /// Has readings take several answers, and a row be put between the first two.
-    pub fn page_reads_and_put(&self, size: usize, meanwhile: (&str, &str, &Value)) {
-        let (table, key, value) = meanwhile;
+    /// Splits reads into pages of this size, and puts a row between the first two pages of the
+    /// next read.
+    pub fn page_reads_and_put(&self, size: usize, put: (&str, &str, &Value)) {
+        let (table, key, value) = put;
         let mut rows = self.rows();
-        rows.page = Some(size);
-        rows.meanwhile = Some((table.to_owned(), key.to_owned(), value.clone()));
+        rows.page_size = Some(size);
+        rows.put_after_page = Some((table.to_owned(), key.to_owned(), value.clone()));
     }
 
-    /// Forgets all changes up to now.
+    /// Forgets the history of changes, so that the feed answers 410 for earlier positions.
     pub fn forget_history(&self) {
         let mut rows = self.rows();
-        rows.forgotten = rows.version;
+        rows.history_start = rows.version;
         rows.version += 1;
         drop(rows);
         self.changed.notify_waiters();
     }
 
-    /// Answers so far, refusals too.
+    /// Returns the number of answers so far, including refusals.
     pub fn calls(&self) -> u64 {
         self.rows().calls
     }
 
-    /// The newest version: a copy of now has it.
+    /// Returns the newest version, to restore the present state later.
     pub fn version(&self) -> u64 {
         self.rows().version
     }
 
-    /// Waits until a row is there.
+    /// Waits until a row exists.
     pub async fn wait_for_row(&self, table: &str, key: &str) {
-        let place = (table.to_owned(), key.to_owned());
+        let row_key = (table.to_owned(), key.to_owned());
         loop {
             let changed = self.changed.notified();
-            let found = self.rows().rows.get(&place).cloned();
+            let found = self.rows().rows.get(&row_key).cloned();
             if found.is_some_and(|(_, value)| value.is_some()) {
                 return;
             }
@@ -257,39 +269,44 @@
         }
     }
 
-    /// Comes back as the copy that was made at a version. What the operator and members wrote
-    /// since is written again after a while.
-    pub fn restore(&self, version: u64, again: Duration) {
+    /// Restores the state at a version. After a delay, the external writes that were lost are
+    /// repeated.
+    pub fn restore(&self, version: u64, rewrite_delay: Duration) {
         let lost = self.rows().restore(version);
         self.changed.notify_waiters();
         let store = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(again).await;
-            for (place, value) in lost {
-                // Whoever has written there since wrote something newer.
-                let copied = store.rows().rows.get(&place).map(|(at, _)| *at);
-                if copied.is_none_or(|at| at <= version) {
-                    store.put_raw(&place.0, &place.1, value);
+            tokio::time::sleep(rewrite_delay).await;
+            for (row_key, value) in lost {
+                // A row that was written since the restore is newer than the lost write.
+                let known = store.rows().rows.get(&row_key).map(|(at, _)| *at);
+                if known.is_none_or(|at| at <= version) {
+                    store.put_raw(&row_key.0, &row_key.1, value);
                 }
             }
         });
     }
 
-    /// Comes back as a copy of so long ago.
-    pub fn restore_from_age(&self, by: Duration, again: Duration) {
+    /// Restores the state of this long ago, as [`Store::restore`] does.
+    pub fn restore_from_age(&self, age: Duration, rewrite_delay: Duration) {
         let version = {
             let rows = self.rows();
-            let older = rows.written.iter().rev().find(|w| w.at.elapsed() >= by);
+            let older = rows
+                .written
+                .iter()
+                .rev()
+                .find(|w| w.written_at.elapsed() >= age);
             older.map_or(0, |written| written.version)
         };
-        self.restore(version, again);
+        self.restore(version, rewrite_delay);
     }
 
-    /// Waits as long as the store is silent; an answer in its place where there is one.
-    async fn gate(&self, table: &str) -> Option<Response> {
+    /// Waits while the store or the table is silent. Returns a refusal when the store is
+    /// unavailable.
+    async fn apply_fault(&self, table: &str) -> Option<Response> {
         loop {
             let changed = self.changed.notified();
-            let silent = self.rows().silent.as_deref() == Some(table);
+            let silent = self.rows().silent_table.as_deref() == Some(table);
             let fault = match silent {
                 true => Fault::Silent,
                 false => self.rows().fault,
@@ -303,6 +320,7 @@
         }
     }
 
+    /// Returns a response once the store doesn't lose answers any more.
     async fn answer(&self, response: Response) -> Response {
         loop {
             let changed = self.changed.notified();
@@ -314,15 +332,19 @@
     }
 }
 
-/// Names the era in every answer, refusals too.
-async fn name_era(State(store): State<Store>, mut response: Response) -> Response {
+/// Counts an answer and adds the era's header, also to refusals.
+async fn add_era(State(store): State<Store>, mut response: Response) -> Response {
     let mut rows = store.rows();
     rows.calls += 1;
     let era = rows.era;
-    response.headers_mut().entry(ERA).or_insert(era.into());
+    response
+        .headers_mut()
+        .entry(ERA_HEADER)
+        .or_insert(era.into());
     response
 }
 
+/// Returns a row as answers hold it.
 fn row(key: &str, (version, value): &(u64, Option<String>)) -> Value {
     match value {
         Some(value) => json!({"tls_key": key, "value": value, "schema_version": version}),
@@ -330,8 +352,9 @@
     }
 }
 
+/// Query of a read or of the feed.
 #[derive(Deserialize)]
-struct Asked {
+struct RowsQuery {
     table: String,
     #[serde(default)]
     from: String,
@@ -341,71 +364,73 @@
     wait_ms: u64,
 }
 
-async fn read(State(store): State<Store>, Query(asked): Query<Asked>) -> Response {
-    if let Some(refusal) = store.gate(&asked.table).await {
+async fn read(State(store): State<Store>, Query(query): Query<RowsQuery>) -> Response {
+    if let Some(refusal) = store.apply_fault(&query.table).await {
         return refusal;
     }
-    store.page_of(&asked)
+    store.read_page(&query)
 }
 
 impl Store {
-    fn page_of(&self, asked: &Asked) -> Response {
+    /// Returns a page of a read, then does what was requested to happen after a page.
+    fn read_page(&self, query: &RowsQuery) -> Response {
         let mut rows = self.rows();
         let found = rows.rows.iter();
         let found = found.filter(|((table, key), (_, value))| {
-            *table == asked.table && *key >= asked.from && value.is_some()
+            *table == query.table && *key >= query.from && value.is_some()
         });
         let mut found: Vec<Value> = found.map(|((_, key), known)| row(key, known)).collect();
-        let size = rows.page.unwrap_or(usize::MAX);
+        let size = rows.page_size.unwrap_or(usize::MAX);
         let more = found.len() > size;
         found.truncate(size);
         let page = json!({"rows": found, "has_more": more, "schema_version": rows.version});
-        if more && let Some((table, key, value)) = rows.meanwhile.take() {
+        if more && let Some((table, key, value)) = rows.put_after_page.take() {
             rows.put(&table, &key, Some(BASE64.encode(value.to_string())));
         }
         let mut response = Json(page).into_response();
-        // What is answered is still of the store before.
-        response.headers_mut().insert(ERA, rows.era.into());
-        if let Some(version) = rows.copy_meanwhile.take_if(|_| more) {
+        // The page is from the state before the restore, and so is its era.
+        response.headers_mut().insert(ERA_HEADER, rows.era.into());
+        if let Some(version) = rows.restore_after_page.take_if(|_| more) {
             rows.restore(version);
         }
         response
     }
 }
 
-async fn feed(State(store): State<Store>, Query(asked): Query<Asked>) -> Response {
+async fn feed(State(store): State<Store>, Query(query): Query<RowsQuery>) -> Response {
     let era = store.rows().era;
-    let end = tokio::time::Instant::now() + Duration::from_millis(asked.wait_ms);
+    let end = tokio::time::Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
-        if let Some(refusal) = store.gate(&asked.table).await {
+        if let Some(refusal) = store.apply_fault(&query.table).await {
             return refusal;
         }
         let changed = store.changed.notified();
         let (found, version) = {
             let rows = store.rows();
-            // A store that was replaced holds no waits of the one before.
+            // A restored store doesn't know the feeds that were waiting before.
             if rows.era != era {
                 return StatusCode::SERVICE_UNAVAILABLE.into_response();
             }
-            if asked.after < rows.forgotten || asked.after > rows.version {
+            if query.after < rows.history_start || query.after > rows.version {
                 return StatusCode::GONE.into_response();
             }
             let newer = rows.rows.iter().filter(|((table, _), (version, _))| {
-                *table == asked.table && *version > asked.after
+                *table == query.table && *version > query.after
             });
             let found: Vec<Value> = newer.map(|((_, key), known)| row(key, known)).collect();
             (found, rows.version)
         };
-        let late = tokio::time::Instant::now() >= end;
-        if !found.is_empty() || late {
+        let expired = tokio::time::Instant::now() >= end;
+        if !found.is_empty() || expired {
             return Json(json!({"rows": found, "schema_version": version})).into_response();
         }
         let _ = tokio::time::timeout_at(end, changed).await;
     }
 }
 
+/// A row within a transaction.
 #[derive(Deserialize)]
-struct Named {
+struct RowRequest {
     table: String,
     tls_key: String,
     #[serde(default)]
@@ -416,31 +441,32 @@
 
 #[derive(Deserialize)]
 struct Transaction {
-    expected_revision: Vec<Named>,
-    puts: Vec<Named>,
-    remove: Vec<Named>,
+    expected_revision: Vec<RowRequest>,
+    puts: Vec<RowRequest>,
+    remove: Vec<RowRequest>,
 }
 
-async fn transact(State(store): State<Store>, Json(asked): Json<Transaction>) -> Response {
-    if let Some(refusal) = store.gate("").await {
+async fn transact(State(store): State<Store>, Json(transaction): Json<Transaction>) -> Response {
+    if let Some(refusal) = store.apply_fault("").await {
         return refusal;
     }
-    let done = commit(&store, asked);
+    let response = commit(&store, transaction);
     store.changed.notify_waiters();
-    store.answer(done).await
+    store.answer(response).await
 }
 
-fn commit(store: &Store, asked: Transaction) -> Response {
+/// Applies a transaction when all revisions are as expected, else answers the conflicting rows.
+fn commit(store: &Store, transaction: Transaction) -> Response {
     let mut rows = store.rows();
     let mut conflicts = Vec::new();
-    for named in &asked.expected_revision {
-        let key = (named.table.clone(), named.tls_key.clone());
+    for requested in &transaction.expected_revision {
+        let key = (requested.table.clone(), requested.tls_key.clone());
         let known = rows.rows.get(&key).filter(|(_, value)| value.is_some());
         let found = known.map_or(0, |(version, _)| *version);
-        if found != named.schema_version {
-            conflicts.extend(known.map(|known| row(&named.tls_key, known)));
+        if found != requested.schema_version {
+            conflicts.extend(known.map(|known| row(&requested.tls_key, known)));
             if known.is_none() {
-                conflicts.push(json!({"tls_key": named.tls_key, "deleted": true}));
+                conflicts.push(json!({"tls_key": requested.tls_key, "deleted": true}));
             }
         }
     }
@@ -450,12 +476,13 @@
     }
     rows.version += 1;
     let version = rows.version;
-    for named in asked.puts.into_iter().chain(asked.remove) {
-        rows.set((named.table, named.tls_key), named.value, false);
+    for requested in transaction.puts.into_iter().chain(transaction.remove) {
+        rows.set((requested.table, requested.tls_key), requested.value, false);
     }
     Json(json!({"schema_version": version, "now_ms": 0})).into_response()
 }
 
+/// Body of an order to promote.
 #[derive(Deserialize)]
 struct Promotion {
     backend: String,
@@ -465,15 +492,15 @@
 async fn promote(
     State(store): State<Store>,
     headers: HeaderMap,
-    Json(asked): Json<Promotion>,
+    Json(promotion): Json<Promotion>,
 ) -> StatusCode {
     let text = |name: &str| {
         let value = headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
     let order = Order {
-        group: asked.backend.clone(),
-        member: asked.id.clone(),
+        group: promotion.backend.clone(),
+        member: promotion.id.clone(),
         holder: text("x-duty-holder"),
         generation: text("x-fencing-token").parse().unwrap_or_default(),
     };
@@ -483,8 +510,8 @@
         .expect("no panic under the lock")
         .push(order);
     let groups = store.groups.lock().expect("no panic under the lock");
-    match groups.get(&asked.backend) {
-        Some(group) if group.promote(&asked.id) => StatusCode::OK,
+    match groups.get(&promotion.backend) {
+        Some(group) if group.promote(&promotion.id) => StatusCode::OK,
         _ => StatusCode::CONFLICT,
     }
 }
--- a/tests/platform/world.rs
+++ b/tests/platform/world.rs
@@ -1,4 +1,4 @@
-//! A group of three members, a store, and some boxes.
+//! The environment of a test: a group of three members, a store, and some boxes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use super::proxy::Proxy;
 use super::store::Store;
 
-/// Databases that callers name, by what their reads must see.
+// Databases that callers connect to, one for each type of route.
 pub const STRICT: &str = "sales.example";
 pub const OWN_WRITES: &str = "plots";
 pub const BOUNDED: &str = "panel";
@@ -20,19 +20,20 @@
 const GROUP: &str = "db1";
 const CONNECTIONS: usize = 12;
 
-/// Everything around the boxes under test.
+/// The boxes under test and the stand-ins around them.
 pub struct World {
     pub store: Store,
     pub store_address: SocketAddr,
     pub group: Group,
     pub members: Vec<(String, SocketAddr, Handle)>,
     pub boxes: Vec<Process>,
-    /// Whether boxes that are added work under the rules on pressure.
+    /// [`Settings::with_pressure_rules`] of the boxes that are added.
     pub with_pressure_rules: bool,
-    /// Version of the newest manifest that [`World::change`] put.
+    /// Version of the newest manifest that the world has put.
     version: u64,
 }
 
+/// Returns the operator's manifest: a route for each database, and one without a hostname.
 pub fn manifest(version: u64, timeout_ms: u64) -> Value {
     let route = |host: &str, kind: &str| {
         json!({
@@ -51,12 +52,12 @@
 }
 
 impl World {
-    /// Starts the stand-ins and `boxes` boxes, and waits until all are ready.
+    /// Starts the stand-ins and `boxes` boxes, and waits until all boxes are ready.
     pub async fn start(boxes: usize) -> Self {
         Self::without_boxes().await.with_boxes(boxes).await
     }
 
-    /// The same under the platform's rules on pressure.
+    /// Like [`World::start`], with the platform's pressure rules in force.
     pub async fn with_pressure_rules(boxes: usize) -> Self {
         let mut world = Self::without_boxes().await;
         world.with_pressure_rules = true;
@@ -68,17 +69,17 @@
         for i in 0..boxes {
             world.add_box(i);
         }
-        for started in &world.boxes {
-            started.wait_ready().await;
+        for process in &world.boxes {
+            process.wait_ready().await;
         }
         world.wait_for_primary().await;
         world
     }
 
-    /// The same with a proxy before each member.
-    pub async fn behind_proxies(boxes: usize, under_pressure: bool) -> (Self, Vec<Proxy>) {
+    /// Like [`World::start`], with a proxy in front of each member.
+    pub async fn behind_proxies(boxes: usize, with_pressure_rules: bool) -> (Self, Vec<Proxy>) {
         let mut world = Self::without_boxes().await;
-        world.with_pressure_rules = under_pressure;
+        world.with_pressure_rules = with_pressure_rules;
         let mut proxies = Vec::new();
         for (i, (id, address, _)) in world.members.iter().enumerate() {
             let proxy = Proxy::start(*address).await;
@@ -90,6 +91,7 @@
         (world.with_boxes(boxes).await, proxies)
     }
 
+    /// Starts the stand-ins alone.
     pub async fn without_boxes() -> Self {
         let store = Store::default();
         let store_address = store.start().await;
@@ -99,15 +101,15 @@
         store.put("op", "config", &manifest(3, 3_000));
         let mut members = Vec::new();
         for (i, id) in ids.iter().enumerate() {
-            let switch = Handle::default();
-            let address = member::start(group.clone(), id, CONNECTIONS, switch.clone()).await;
+            let handle = Handle::default();
+            let address = member::start(group.clone(), id, CONNECTIONS, handle.clone()).await;
             store.put("servers", id, &member_entry(i, address, "ready"));
-            members.push((id.clone(), address, switch));
+            members.push((id.clone(), address, handle));
         }
-        let following = group.clone();
+        let replicated = group.clone();
         tokio::spawn(async move {
             loop {
-                following.replicate();
+                replicated.replicate();
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         });
@@ -122,15 +124,14 @@
         }
     }
 
-    /// Puts a manifest that changes nothing, under a version that is by `step` later:
-    /// operators' versions only rise.
+    /// Puts the base manifest again under a version that is higher by `step`.
     pub fn bump_manifest_version(&mut self, step: u64) {
         self.version += step;
         let next = manifest(self.version, 3_000);
         self.store.put("op", "config", &next);
     }
 
-    /// Puts a manifest with one more database, and returns its name.
+    /// Puts a manifest with an additional database and returns the database's name.
     pub fn add_database(&mut self) -> String {
         self.version += 1;
         let name = format!("added-{}", self.version);
@@ -143,50 +144,53 @@
         name
     }
 
+    /// Starts a box without waiting until the box is ready.
     pub fn add_box(&mut self, i: usize) {
         self.add_box_with_store(i, self.store_address);
     }
 
-    /// Adds a box that has an address of its own for the store.
+    /// Starts a box that reaches the store at the given address.
     pub fn add_box_with_store(&mut self, i: usize, store: SocketAddr) {
         self.add_box_in_zone(i, &format!("zone-{}", i % 3), store);
     }
 
-    /// Adds a box to a failure domain.
+    /// Starts a box in a failure domain.
     pub fn add_box_in_zone(&mut self, i: usize, zone: &str, store: SocketAddr) {
-        let mut place = Settings::new(&format!("box-{i}"), zone, store);
-        place.with_pressure_rules = self.with_pressure_rules;
-        self.boxes.push(Process::start(place));
+        let mut settings = Settings::new(&format!("box-{i}"), zone, store);
+        settings.with_pressure_rules = self.with_pressure_rules;
+        self.boxes.push(Process::start(settings));
     }
 
-    /// Waits until every box has seen the primary.
+    /// Waits until every box knows the primary.
     pub async fn wait_for_primary(&self) {
-        for started in &self.boxes {
-            while !started.dump().await.contains("\"primary\":\"") {
+        for process in &self.boxes {
+            while !process.dump().await.contains("\"primary\":\"") {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
     }
 
+    /// Opens a session at a box, which must be ready.
     pub async fn client(&self, i: usize, database: &str, name: &'static str) -> Client {
         let front = self.boxes[i].settings.front;
         Client::connect(front, database, name)
             .await
-            .expect("a ready box takes callers")
+            .expect("a ready box accepts callers")
     }
 
+    /// Returns the handle of a member.
     pub fn member(&self, id: &str) -> &Handle {
-        let found = self.members.iter().find(|(known, _, _)| known == id);
-        &found.expect("a member").2
+        let member = self.members.iter().find(|(known, _, _)| known == id);
+        &member.expect("a member").2
     }
 
-    /// Ends a member as a crash does.
+    /// Crashes a member: its listener and connections end, and it replicates nothing.
     pub fn crash_member(&self, id: &str) {
         self.group.set_running(id, false);
         self.member(id).crash();
     }
 
-    /// Says that a member is leaving.
+    /// Puts the member's entry with the state `draining`.
     pub fn drain_member(&self, id: &str) {
         let i = self.members.iter().position(|(known, _, _)| known == id);
         let i = i.expect("a member");
@@ -195,11 +199,12 @@
             .put("servers", id, &member_entry(i, address, "draining"));
     }
 
-    /// Writes until it is acknowledged; the codes of what was not.
+    /// Repeats a write until a member acknowledges it. Returns the error codes of the failed
+    /// attempts.
     pub async fn write_until_acknowledged(&self, client: &mut Client, text: &str) -> Vec<String> {
         let mut codes = Vec::new();
         loop {
-            let answer = client.run(text).await.expect("the session goes on");
+            let answer = client.run(text).await.expect("the session stays open");
             match answer.error {
                 None => return codes,
                 Some(code) => codes.push(code),
@@ -209,6 +214,7 @@
     }
 }
 
+/// Returns a member's row of the table `servers`.
 pub fn member_entry(i: usize, address: SocketAddr, state: &str) -> Value {
     json!({
         "backend": GROUP, "address": address.to_string(), "zone": format!("zone-{i}"),
