--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -13,13 +13,13 @@
 
 mod hostile;
 mod leaving;
-mod older_copy;
 mod reading;
 mod relay;
 mod reload;
 mod replacement;
 mod restarts;
 mod sessions;
-mod silence;
+mod silent_connections;
 mod soak;
+mod store_restore;
 mod workspaces;
