--- a/tests/platform/boxes.rs
+++ b/tests/platform/boxes.rs
@@ -22,8 +22,8 @@
     pub metrics: SocketAddr,
     pub store: SocketAddr,
     pub seeds: Vec<SocketAddr>,
-    /// Whether the platform's rules on pressure and on shared connections are in force and the
-    /// boxes must tolerate the loss of a failure domain.
+    /// Whether the settings demand the platform's rules on pressure and on shared connections, and
+    /// tolerance of the loss of a failure domain.
     pub with_pressure_rules: bool,
 }
 
--- a/tests/platform/group.rs
+++ b/tests/platform/group.rs
@@ -25,7 +25,7 @@
     pub log: Vec<Entry>,
     /// When each entry was received; none for the member's own entries.
     received: Vec<Option<Instant>>,
-    /// Term of the fence under which the member receives nothing, 0 for none.
+    /// Term of the fence, under which the member receives nothing; 0 without a fence.
     pub fence_term: u64,
     pub running: bool,
 }
--- a/tests/platform/replacement.rs
+++ b/tests/platform/replacement.rs
@@ -32,7 +32,7 @@
     let holders: BTreeSet<&str> = orders.iter().map(|order| &*order.holder).collect();
     expect_that!(generations.len(), eq(1));
     expect_that!(holders.len(), eq(1));
-    // The replica that wasn't promoted loses its fence.
+    // The boxes lift the fence of the replica that wasn't promoted.
     while !world.group.fenced().is_empty() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -91,7 +91,7 @@
     expect_that!(answer.error, some(anything()));
 }
 
-/// Guards against fencing tokens that fall or are used by two boxes while one box can't reach the
+/// Guards against fencing tokens that decrease or are used by two boxes while one box can't reach the
 /// store.
 #[gtest]
 #[tokio::test]
--- a/tests/platform/silent_connections.rs
+++ b/tests/platform/silent_connections.rs
@@ -15,7 +15,7 @@
 use super::store::Fault;
 use super::world::{OWN_WRITES, STRICT, World};
 
-/// The shortest time in which the users require a box with working connections to know all changes.
+/// The shortest deadline that users set for a box with working connections to know all changes.
 const CONTACT_DEADLINE: Duration = Duration::from_secs(4);
 /// Questions to the silent peer after which a test fails.
 const MAX_QUESTIONS: usize = 20;
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -80,6 +80,7 @@
     }
 }
 
+/// The answers that callers got.
 #[derive(Default)]
 struct History {
     seen: Seen,
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -214,8 +214,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Names this era in all answers from now on, without a change to the rows. An earlier era is
-    /// what delayed answers name.
+    /// Names this era in all answers from now on, without a change to the rows. An earlier era
+    /// makes the answers look delayed.
     pub fn set_era(&self, era: u64) {
         self.rows().era = era;
     }
