--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,5 +1,5 @@
-//! Tests of boxes on the users' platform: real processes in front of small stand-ins
-//! for the platform's store and for members that speak lines.
+//! Tests of boxes on the users' platform: real processes in front of small stand-ins for
+//! the platform's store and for members that speak the line protocol.
 
 mod boxes;
 mod client;
@@ -13,13 +13,13 @@
 
 mod hostile;
 mod leaving;
-mod older_copy;
 mod reading;
 mod relay;
 mod reload;
 mod replacement;
 mod restarts;
 mod sessions;
-mod silence;
+mod silent_connections;
 mod soak;
+mod store_restore;
 mod workspaces;
--- a/tests/platform/replacement.rs
+++ b/tests/platform/replacement.rs
@@ -1,4 +1,4 @@
-//! Primaries that fail, leave or are cut off.
+//! Replacement of primaries that fail, leave, or run while boxes or the store are unreachable.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -8,17 +8,17 @@
 use nix::sys::signal::Signal;
 
 use super::store::Fault;
-use super::world::{OWN, STRICT, World};
+use super::world::{OWN_WRITES, STRICT, World};
 
 #[gtest]
 #[tokio::test]
-async fn a_crashed_primary_is_replaced_once_and_all_replicas_receive_again() {
+async fn a_crashed_primary_is_replaced_once_and_no_replica_stays_fenced() {
     let world = World::start(3).await;
     let mut client = world.client(0, STRICT, "a").await;
     client.run("WRITE farm before").await.unwrap();
-    world.crash("i-0");
+    world.crash_member("i-0");
     let codes = world
-        .write_until_done(&mut client, "WRITE farm after")
+        .write_until_acknowledged(&mut client, "WRITE farm after")
         .await;
     for code in &codes {
         expect_that!(code, any![eq("RETRY"), eq("UNKNOWN"), eq("OVERLOAD")]);
@@ -26,29 +26,31 @@
     let primary = world.group.primary();
     expect_that!(primary, not(eq("i-0")));
     let log = world.group.log(&primary);
-    expect_that!(log[0].data, eq("before"));
+    expect_that!(log[0].value, eq("before"));
     let orders = world.store.orders();
     let generations: BTreeSet<u64> = orders.iter().map(|order| order.generation).collect();
     let holders: BTreeSet<&str> = orders.iter().map(|order| &*order.holder).collect();
     expect_that!(generations.len(), eq(1));
     expect_that!(holders.len(), eq(1));
-    // The fence of a promotion's loser is taken back.
-    while !world.group.held().is_empty() {
+    // The boxes lift the fence of the replica that wasn't promoted.
+    while !world.group.fenced().is_empty() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_old_primary_that_lives_on_acknowledges_nothing_more() {
+async fn an_old_primary_that_resumes_acknowledges_no_write() {
     let world = World::start(3).await;
     let mut client = world.client(0, STRICT, "a").await;
     client.run("WRITE farm 0").await.unwrap();
-    world.switch("i-0").frozen.store(true, Ordering::SeqCst);
-    world.write_until_done(&mut client, "WRITE farm 1").await;
+    world.member("i-0").frozen.store(true, Ordering::SeqCst);
+    world
+        .write_until_acknowledged(&mut client, "WRITE farm 1")
+        .await;
     expect_that!(world.group.primary(), not(eq("i-0")));
-    world.switch("i-0").frozen.store(false, Ordering::SeqCst);
-    // It wakes as the primary of the old term; no box takes its word.
+    world.member("i-0").frozen.store(false, Ordering::SeqCst);
+    // The old primary resumes with its old term; boxes must ignore it.
     let mut other = world.client(1, STRICT, "b").await;
     for round in 2..30 {
         let answer = other.run(&format!("WRITE farm {round}")).await.unwrap();
@@ -60,7 +62,7 @@
                 .iter()
                 .map(|e| e.id.clone())
                 .collect();
-            expect_that!(ids, contains(eq(&other.last())));
+            expect_that!(ids, contains(eq(&other.last_id())));
         }
     }
 }
@@ -72,46 +74,47 @@
     let mut client = world.client(0, STRICT, "a").await;
     client.run("WRITE farm before").await.unwrap();
     world.store.set_fault(Fault::Busy);
-    world.crash("i-0");
+    world.crash_member("i-0");
     world
-        .write_until_done(&mut client, "WRITE farm after")
+        .write_until_acknowledged(&mut client, "WRITE farm after")
         .await;
     let orders = world.store.orders();
     let used: BTreeSet<(u64, &str)> = orders.iter().map(|o| (o.generation, &*o.holder)).collect();
     let generations: BTreeSet<u64> = used.iter().map(|(generation, _)| *generation).collect();
-    // No two boxes ever use one number.
+    // No two boxes use the same fencing token.
     expect_that!(generations.len(), eq(used.len()));
     world.store.set_fault(Fault::None);
     let primary = world.group.primary();
-    world.crash(&primary);
-    // One member is left of three: no majority may acknowledge.
+    world.crash_member(&primary);
+    // One of three members is left, which is no majority.
     let answer = client.run("WRITE farm alone").await.unwrap();
     expect_that!(answer.error, some(anything()));
 }
 
-/// As on `bench/days/node-cut-mix.toml`.
+/// Guards against fencing tokens that decrease or are used by two boxes while one box can't reach the
+/// store.
 #[gtest]
 #[tokio::test]
-async fn with_one_box_cut_off_from_the_store_numbers_of_orders_rise_and_are_never_shared() {
+async fn with_one_box_cut_off_from_the_store_fencing_tokens_rise_and_are_never_shared() {
     for cut_off in 0..3 {
         let mut world = World::without_boxes().await;
-        let (door, cut) = world.store.start_apart().await;
+        let (cut_off_address, cut) = world.store.start_with_cut().await;
         for i in 0..3 {
             match i == cut_off {
-                true => world.add_box_at(i, door),
+                true => world.add_box_with_store(i, cut_off_address),
                 false => world.add_box(i),
             }
         }
-        for started in &world.boxes {
-            started.wait_ready().await;
+        for process in &world.boxes {
+            process.wait_ready().await;
         }
-        world.wait_primary().await;
+        world.wait_for_primary().await;
         let mut client = world.client(0, STRICT, "a").await;
         client.run("WRITE farm before").await.unwrap();
         cut.store(true, Ordering::SeqCst);
-        world.crash("i-0");
+        world.crash_member("i-0");
         world
-            .write_until_done(&mut client, "WRITE farm after")
+            .write_until_acknowledged(&mut client, "WRITE farm after")
             .await;
         let orders = world.store.orders();
         let numbers: Vec<u64> = orders.iter().map(|order| order.generation).collect();
@@ -125,21 +128,23 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_leaving_primary_hands_over_what_it_acknowledged() {
+async fn a_draining_primary_hands_over_all_acknowledged_writes() {
     let world = World::start(2).await;
-    let mut client = world.client(0, OWN, "a").await;
+    let mut client = world.client(0, OWN_WRITES, "a").await;
     for round in 0..10 {
         client.run(&format!("WRITE farm {round}")).await.unwrap();
     }
-    world.drain("i-0");
+    world.drain_member("i-0");
     let mut acknowledged = Vec::new();
     while world.group.primary() == "i-0" {
         let answer = client.run("WRITE farm more").await.unwrap();
         if answer.error.is_none() {
-            acknowledged.push(client.last());
+            acknowledged.push(client.last_id());
         }
     }
-    world.write_until_done(&mut client, "WRITE farm last").await;
+    world
+        .write_until_acknowledged(&mut client, "WRITE farm last")
+        .await;
     let log = world.group.log(&world.group.primary());
     let ids: BTreeSet<String> = log.iter().map(|entry| entry.id.clone()).collect();
     for id in &acknowledged {
@@ -149,32 +154,32 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_member_that_goes_and_another_that_comes_keep_the_group_serving() {
+async fn a_removed_entry_and_a_draining_replica_keep_the_group_serving() {
     let world = World::start(2).await;
     let mut client = world.client(0, STRICT, "a").await;
     client.run("WRITE farm before").await.unwrap();
-    // An entry that lapses while its member lives comes back.
+    // The entry expires while its member still runs.
     world.store.put_raw("servers", "i-2", None);
     for _ in 0..20 {
         let answer = client.run("READ farm").await.unwrap();
         expect_that!(answer.error, none());
     }
-    world.drain("i-2");
+    world.drain_member("i-2");
     for round in 0..20 {
         let answer = client.run(&format!("WRITE farm {round}")).await.unwrap();
         expect_that!(answer.error, none());
     }
 }
 
-/// What users saw: boxes that were being stopped began to replace the primary and ended before
-/// they were done. The fences stayed, and the group had no primary for seconds.
+/// Guards against a stopping box that begins to replace the primary and exits before the end, which
+/// leaves fences behind and the group without a primary.
 #[gtest]
 #[tokio::test]
-async fn a_box_that_stops_leaves_a_replacement_to_others() {
-    for stays in 0..3 {
+async fn a_stopping_box_leaves_a_replacement_to_others() {
+    for remaining in 0..3 {
         let world = World::start(3).await;
         let mut callers = Vec::new();
-        for i in (0..3).filter(|i| *i != stays) {
+        for i in (0..3).filter(|i| *i != remaining) {
             let mut client = world.client(i, STRICT, "a").await;
             client.run("WRITE farm before").await.unwrap();
             callers.push(client);
@@ -183,18 +188,18 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         }
-        world.crash("i-0");
-        // Their callers are the first to meet the crash.
+        world.crash_member("i-0");
+        // Callers of the stopping boxes are the first to notice the crash.
         for client in &mut callers {
             let _ = client.run("WRITE farm lost").await;
         }
-        let mut client = world.client(stays, STRICT, "b").await;
+        let mut client = world.client(remaining, STRICT, "b").await;
         world
-            .write_until_done(&mut client, "WRITE farm after")
+            .write_until_acknowledged(&mut client, "WRITE farm after")
             .await;
         let orders = world.store.orders();
         let holders: BTreeSet<&str> = orders.iter().map(|order| &*order.holder).collect();
-        let name = format!("box-{stays}");
+        let name = format!("box-{remaining}");
         expect_that!(holders, elements_are![eq(&name.as_str())]);
     }
 }
--- a/tests/platform/world.rs
+++ b/tests/platform/world.rs
@@ -1,38 +1,39 @@
-//! A group of three members, a store, and some boxes.
+//! The environment of a test: a group of three members, a store, and some boxes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use serde_json::{Value, json};
 
-use super::boxes::{Place, Process};
+use super::boxes::{Process, Settings};
 use super::client::Client;
 use super::group::Group;
-use super::member::{self, Switch};
+use super::member::{self, Handle};
 use super::proxy::Proxy;
 use super::store::Store;
 
-/// Databases that callers name, by what their reads must see.
+// Databases that callers connect to, one for each type of route.
 pub const STRICT: &str = "sales.example";
-pub const OWN: &str = "plots";
+pub const OWN_WRITES: &str = "plots";
 pub const BOUNDED: &str = "panel";
 
 const GROUP: &str = "db1";
 const CONNECTIONS: usize = 12;
 
-/// Everything around the boxes under test.
+/// The boxes under test and the stand-ins around them.
 pub struct World {
     pub store: Store,
     pub store_address: SocketAddr,
     pub group: Group,
-    pub members: Vec<(String, SocketAddr, Switch)>,
+    pub members: Vec<(String, SocketAddr, Handle)>,
     pub boxes: Vec<Process>,
-    /// Whether boxes that are added work under the rules on pressure.
-    pub under_pressure: bool,
-    /// Version of the newest manifest that [`World::change`] put.
+    /// [`Settings::with_pressure_rules`] of the boxes that are added.
+    pub with_pressure_rules: bool,
+    /// Version of the newest manifest that the world has put.
     version: u64,
 }
 
+/// Returns the operator's manifest: a route for each database, and one without a hostname.
 pub fn manifest(version: u64, timeout_ms: u64) -> Value {
     let route = |host: &str, kind: &str| {
         json!({
@@ -43,7 +44,7 @@
     };
     json!({
         "version": version,
-        "routes": [route(STRICT, "primary"), route(OWN, "own_writes"), route(BOUNDED, "bounded"),
+        "routes": [route(STRICT, "primary"), route(OWN_WRITES, "own_writes"), route(BOUNDED, "bounded"),
             {"name": "r-none", "path_prefix": "/", "type": "primary", "backend": GROUP}],
         "services": [{"name": GROUP, "max_connections": CONNECTIONS, "sync_replicas": 0}],
         "limits": {"tx_idle_ms": 1_500, "idle_timeout_ms": 15_000},
@@ -51,15 +52,15 @@
 }
 
 impl World {
-    /// Starts the stand-ins and `boxes` boxes, and waits until all are ready.
+    /// Starts the stand-ins and `boxes` boxes, and waits until all boxes are ready.
     pub async fn start(boxes: usize) -> Self {
         Self::without_boxes().await.with_boxes(boxes).await
     }
 
-    /// The same under the platform's rules on pressure.
-    pub async fn under_pressure(boxes: usize) -> Self {
+    /// Like [`World::start`], with the platform's pressure rules in force.
+    pub async fn with_pressure_rules(boxes: usize) -> Self {
         let mut world = Self::without_boxes().await;
-        world.under_pressure = true;
+        world.with_pressure_rules = true;
         world.with_boxes(boxes).await
     }
 
@@ -68,28 +69,29 @@
         for i in 0..boxes {
             world.add_box(i);
         }
-        for started in &world.boxes {
-            started.wait_ready().await;
+        for process in &world.boxes {
+            process.wait_ready().await;
         }
-        world.wait_primary().await;
+        world.wait_for_primary().await;
         world
     }
 
-    /// The same with a proxy before each member.
-    pub async fn behind_proxies(boxes: usize, under_pressure: bool) -> (Self, Vec<Proxy>) {
+    /// Like [`World::start`], with a proxy in front of each member.
+    pub async fn behind_proxies(boxes: usize, with_pressure_rules: bool) -> (Self, Vec<Proxy>) {
         let mut world = Self::without_boxes().await;
-        world.under_pressure = under_pressure;
+        world.with_pressure_rules = with_pressure_rules;
         let mut proxies = Vec::new();
         for (i, (id, address, _)) in world.members.iter().enumerate() {
             let proxy = Proxy::start(*address).await;
             world
                 .store
-                .put("servers", id, &entry(i, proxy.address, "ready"));
+                .put("servers", id, &member_entry(i, proxy.address, "ready"));
             proxies.push(proxy);
         }
         (world.with_boxes(boxes).await, proxies)
     }
 
+    /// Starts the stand-ins alone.
     pub async fn without_boxes() -> Self {
         let store = Store::default();
         let store_address = store.start().await;
@@ -99,15 +101,15 @@
         store.put("op", "config", &manifest(3, 3_000));
         let mut members = Vec::new();
         for (i, id) in ids.iter().enumerate() {
-            let switch = Switch::default();
-            let address = member::start(group.clone(), id, CONNECTIONS, switch.clone()).await;
-            store.put("servers", id, &entry(i, address, "ready"));
-            members.push((id.clone(), address, switch));
+            let handle = Handle::default();
+            let address = member::start(group.clone(), id, CONNECTIONS, handle.clone()).await;
+            store.put("servers", id, &member_entry(i, address, "ready"));
+            members.push((id.clone(), address, handle));
         }
-        let following = group.clone();
+        let replicated = group.clone();
         tokio::spawn(async move {
             loop {
-                following.replicate();
+                replicated.replicate();
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         });
@@ -117,20 +119,19 @@
             group,
             members,
             boxes: Vec::new(),
-            under_pressure: false,
+            with_pressure_rules: false,
             version: 3,
         }
     }
 
-    /// Puts a manifest that changes nothing, under a version that is by `step` later:
-    /// operators' versions only rise.
-    pub fn change(&mut self, step: u64) {
+    /// Puts the base manifest again under a version that is higher by `step`.
+    pub fn bump_manifest_version(&mut self, step: u64) {
         self.version += step;
         let next = manifest(self.version, 3_000);
         self.store.put("op", "config", &next);
     }
 
-    /// Puts a manifest with one more database, and returns its name.
+    /// Puts a manifest with an additional database and returns the database's name.
     pub fn add_database(&mut self) -> String {
         self.version += 1;
         let name = format!("added-{}", self.version);
@@ -143,63 +144,67 @@
         name
     }
 
+    /// Starts a box without waiting until the box is ready.
     pub fn add_box(&mut self, i: usize) {
-        self.add_box_at(i, self.store_address);
+        self.add_box_with_store(i, self.store_address);
     }
 
-    /// Adds a box that has an address of its own for the store.
-    pub fn add_box_at(&mut self, i: usize, store: SocketAddr) {
-        self.add_box_in(i, &format!("zone-{}", i % 3), store);
+    /// Starts a box that reaches the store at the given address.
+    pub fn add_box_with_store(&mut self, i: usize, store: SocketAddr) {
+        self.add_box_in_zone(i, &format!("zone-{}", i % 3), store);
     }
 
-    /// Adds a box to a failure domain.
-    pub fn add_box_in(&mut self, i: usize, zone: &str, store: SocketAddr) {
-        let mut place = Place::new(&format!("box-{i}"), zone, store);
-        place.under_pressure = self.under_pressure;
-        self.boxes.push(Process::start(place));
+    /// Starts a box in a failure domain.
+    pub fn add_box_in_zone(&mut self, i: usize, zone: &str, store: SocketAddr) {
+        let mut settings = Settings::new(&format!("box-{i}"), zone, store);
+        settings.with_pressure_rules = self.with_pressure_rules;
+        self.boxes.push(Process::start(settings));
     }
 
-    /// Waits until every box has seen the primary.
-    pub async fn wait_primary(&self) {
-        for started in &self.boxes {
-            while !started.dump().await.contains("\"primary\":\"") {
+    /// Waits until every box knows the primary.
+    pub async fn wait_for_primary(&self) {
+        for process in &self.boxes {
+            while !process.dump().await.contains("\"primary\":\"") {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
     }
 
+    /// Opens a session at a box, which must be ready.
     pub async fn client(&self, i: usize, database: &str, name: &'static str) -> Client {
-        let front = self.boxes[i].place.front;
+        let front = self.boxes[i].settings.front;
         Client::connect(front, database, name)
             .await
-            .expect("a ready box takes callers")
+            .expect("a ready box accepts callers")
     }
 
-    pub fn switch(&self, id: &str) -> &Switch {
-        let found = self.members.iter().find(|(known, _, _)| known == id);
-        &found.expect("a member").2
+    /// Returns the handle of a member.
+    pub fn member(&self, id: &str) -> &Handle {
+        let member = self.members.iter().find(|(known, _, _)| known == id);
+        &member.expect("a member").2
     }
 
-    /// Ends a member as a crash does.
-    pub fn crash(&self, id: &str) {
-        self.group.set_up(id, false);
-        self.switch(id).crash();
+    /// Crashes a member: its listener and connections end, and it replicates nothing.
+    pub fn crash_member(&self, id: &str) {
+        self.group.set_running(id, false);
+        self.member(id).crash();
     }
 
-    /// Says that a member is leaving.
-    pub fn drain(&self, id: &str) {
+    /// Puts the member's entry with the state `draining`.
+    pub fn drain_member(&self, id: &str) {
         let i = self.members.iter().position(|(known, _, _)| known == id);
         let i = i.expect("a member");
         let address = self.members[i].1;
         self.store
-            .put("servers", id, &entry(i, address, "draining"));
+            .put("servers", id, &member_entry(i, address, "draining"));
     }
 
-    /// Writes until it is acknowledged; the codes of what was not.
-    pub async fn write_until_done(&self, client: &mut Client, text: &str) -> Vec<String> {
+    /// Repeats a write until a member acknowledges it. Returns the error codes of the failed
+    /// attempts.
+    pub async fn write_until_acknowledged(&self, client: &mut Client, text: &str) -> Vec<String> {
         let mut codes = Vec::new();
         loop {
-            let answer = client.run(text).await.expect("the session goes on");
+            let answer = client.run(text).await.expect("the session stays open");
             match answer.error {
                 None => return codes,
                 Some(code) => codes.push(code),
@@ -209,7 +214,8 @@
     }
 }
 
-pub fn entry(i: usize, address: SocketAddr, state: &str) -> Value {
+/// Returns a member's row of the table `servers`.
+pub fn member_entry(i: usize, address: SocketAddr, state: &str) -> Value {
     json!({
         "backend": GROUP, "address": address.to_string(), "zone": format!("zone-{i}"),
         "version": "v1", "capacity": 3, "state": state, "cold_remaining_ms": 0,
