--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -3,23 +3,23 @@
 
 mod boxes;
 mod client;
-mod entries;
-mod following;
+mod domain_restart;
 mod group;
 mod member;
+mod member_entries;
 mod proxy;
 mod store;
 mod world;
 
-mod hostile;
+mod domain_readers;
 mod leaving;
+mod malformed_input;
 mod older_copy;
-mod reading;
-mod relay;
 mod reload;
 mod replacement;
 mod restarts;
 mod sessions;
 mod silence;
 mod soak;
+mod store_reads;
 mod workspaces;
--- a/tests/platform/entries.rs
+++ b/tests/platform/member_entries.rs
@@ -11,8 +11,8 @@
 use serde_json::{Value, json};
 use tokio::task::LocalSet;
 
-use super::reading::mirror;
 use super::store::Store;
+use super::store_reads::start_mirror;
 use super::world::{entry, manifest};
 
 /// The last entry by its key, which is told after all that stood before it.
@@ -87,7 +87,7 @@
     store.put_raw("servers", "garbled", Some("%%%".to_owned()));
     store.put("servers", LAST, &good());
     let check = async {
-        let told = members_until(&mirror(&store).await, LAST, true).await;
+        let told = members_until(&start_mirror(&store).await, LAST, true).await;
         let keys: Vec<&str> = told.iter().map(|row| &*row.key).collect();
         let wanted = [
             "resource/member/platform/db1.a-good",
@@ -112,7 +112,7 @@
         store.put("servers", "a", &good());
         store.put("servers", "b", &good());
         let check = async {
-            let mirror = mirror(&store).await;
+            let mirror = start_mirror(&store).await;
             members_until(&mirror, "db1.b", true).await;
             store.put_raw("servers", "a", value);
             members_until(&mirror, "db1.a", false).await;
--- a/tests/platform/older_copy.rs
+++ b/tests/platform/older_copy.rs
@@ -14,9 +14,11 @@
 use tokio::time::Instant;
 
 use super::client::Client;
-use super::reading::{measured, mirror, reader, rows_until};
 use super::restarts::remove_route;
 use super::store::{Fault, Store};
+use super::store_reads::{
+    collect_rows_until, start_mirror, start_mirror_with_metrics, start_reader,
+};
 use super::world::{STRICT, World, entry, manifest};
 
 /// Time in which a change has to be in force.
@@ -165,7 +167,7 @@
     store.put("op", "a", &json!(1));
     let copy = store.version();
     store.put("op", "b", &json!(1));
-    let reader = reader(&store).await;
+    let reader = start_reader(&store).await;
     let read = reader.read("op").await.expect("the store answers");
     store.restore(copy, NEVER);
     for key in ["c", "d", "e"] {
@@ -184,7 +186,7 @@
         store.put("op", key, &json!(1));
     }
     store.page_and_restore(1, store.version());
-    let reader = reader(&store).await;
+    let reader = start_reader(&store).await;
     let read = reader.read("op").await;
     expect_that!(read.err(), some(eq(&StoreError::Replaced)));
     expect_that!(
@@ -199,7 +201,7 @@
     let store = Store::default();
     store.put("op", "a", &json!(1));
     store.name_era(5);
-    let reader = reader(&store).await;
+    let reader = start_reader(&store).await;
     expect_that!(reader.read("op").await.is_ok(), eq(true));
     store.name_era(4);
     let late = reader.read("op").await;
@@ -216,7 +218,7 @@
     let copy = store.version();
     let check = async {
         let metrics: Rc<Metrics> = Rc::default();
-        let _mirror = measured(&store, metrics.clone()).await;
+        let _mirror = start_mirror_with_metrics(&store, metrics.clone()).await;
         let asked = |cause: &str| {
             let text = metrics.text();
             let label = format!("cause=\"{cause}\",table=\"servers\"");
@@ -267,8 +269,8 @@
     let copy = store.version();
     store.put("larkfall", "duty/a", &duty("before"));
     let check = async {
-        let mirror = mirror(&store).await;
-        let read = rows_until(&mirror, "duty/a").await;
+        let mirror = start_mirror(&store).await;
+        let read = collect_rows_until(&mirror, "duty/a").await;
         let known = read.iter().find(|row| *row.key == *"duty/a");
         let known = known.expect("it was read").revision;
         store.restore(copy, NEVER);
@@ -317,8 +319,8 @@
         &entry(0, ([127, 0, 0, 1], 1).into(), "ready"),
     );
     let check = async {
-        let mirror = mirror(&store).await;
-        rows_until(&mirror, "resource/member/platform/db1.i-0").await;
+        let mirror = start_mirror(&store).await;
+        collect_rows_until(&mirror, "resource/member/platform/db1.i-0").await;
         let copy = store.version();
         store.set_fault(Fault::Silent);
         store.put(
--- a/tests/platform/reading.rs
+++ b/tests/platform/store_reads.rs
@@ -20,19 +20,19 @@
 
 const PAUSE: Duration = Duration::from_millis(5);
 
-pub async fn reader(store: &Store) -> Reader {
+pub async fn start_reader(store: &Store) -> Reader {
     let address = store.start().await;
     let client = Client::new(address.ip());
     Reader::new(client, address.to_string().into())
 }
 
-pub async fn mirror(store: &Store) -> Rc<Mirror> {
-    measured(store, Rc::default()).await
+pub async fn start_mirror(store: &Store) -> Rc<Mirror> {
+    start_mirror_with_metrics(store, Rc::default()).await
 }
 
-pub async fn measured(store: &Store, metrics: Rc<Metrics>) -> Rc<Mirror> {
+pub async fn start_mirror_with_metrics(store: &Store, metrics: Rc<Metrics>) -> Rc<Mirror> {
     Mirror::start(
-        reader(store).await,
+        start_reader(store).await,
         Settings::default(),
         metrics,
         slog::Logger::root(slog::Discard, slog::o!()),
@@ -40,7 +40,7 @@
 }
 
 /// Rows of a mirror as it tells them, until one with this key has come.
-pub async fn rows_until(mirror: &Mirror, key: &str) -> Vec<Row> {
+pub async fn collect_rows_until(mirror: &Mirror, key: &str) -> Vec<Row> {
     let mut told = Vec::new();
     loop {
         told.extend(
@@ -66,7 +66,7 @@
         store.put("servers", key, &json!(1));
     }
     store.page(1, ("servers", "a", &json!(2)));
-    let reader = reader(&store).await;
+    let reader = start_reader(&store).await;
     let read = reader.read("servers").await.unwrap();
     expect_that!(read.rows.len(), eq(3));
     let later = reader.changes("servers", read.revision, Duration::ZERO);
@@ -83,11 +83,11 @@
     store.put("op", "config", &manifest(3, 3_000));
     store.put("larkfall", "duty/a", &json!({"holder": "b"}));
     let check = async {
-        let mirror = mirror(&store).await;
-        let first = rows_until(&mirror, "duty/a").await;
+        let mirror = start_mirror(&store).await;
+        let first = collect_rows_until(&mirror, "duty/a").await;
         store.put("larkfall", "duty/a", &json!({"holder": "b"}));
         store.put("larkfall", "duty/b", &json!({"holder": "b"}));
-        let later = rows_until(&mirror, "duty/b").await;
+        let later = collect_rows_until(&mirror, "duty/b").await;
         let version = |rows: &[Row]| {
             let found = rows.iter().rfind(|row| *row.key == *"duty/a");
             found.map(|row| row.revision)
@@ -114,9 +114,9 @@
     store.put("larkfall", "box/a", &value);
     store.put("larkfall", "box/b", &value);
     let check = async {
-        let older = listed(mirror(&store).await).await;
+        let older = listed(start_mirror(&store).await).await;
         store.put_raw("larkfall", "box/b", None);
-        let newer = listed(mirror(&store).await).await;
+        let newer = listed(start_mirror(&store).await).await;
         expect_that!(newer, gt(older));
     };
     LocalSet::new().run_until(check).await;
