--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -3,23 +3,23 @@
 
 mod boxes;
 mod client;
-mod entries;
-mod following;
+mod domain_restart;
 mod group;
 mod member;
+mod member_entries;
 mod proxy;
 mod store;
 mod world;
 
-mod hostile;
+mod domain_readers;
 mod leaving;
-mod reading;
-mod relay;
+mod malformed_input;
 mod reload;
 mod replacement;
 mod restarts;
 mod sessions;
 mod silent_connections;
 mod soak;
+mod store_reads;
 mod store_restore;
 mod workspaces;
--- a/tests/platform/store_restore.rs
+++ b/tests/platform/store_restore.rs
@@ -14,9 +14,11 @@
 use tokio::time::Instant;
 
 use super::client::Client;
-use super::reading::{measured, mirror, reader, rows_until};
 use super::restarts::remove_strict_route;
 use super::store::{Fault, Store};
+use super::store_reads::{
+    collect_rows_until, start_mirror, start_mirror_with_metrics, start_reader,
+};
 use super::world::{STRICT, World, manifest, member_entry};
 
 /// Deadline for a change of the configuration to take effect.
@@ -141,7 +143,7 @@
     store.put("op", "a", &json!(1));
     let earlier = store.version();
     store.put("op", "b", &json!(1));
-    let reader = reader(&store).await;
+    let reader = start_reader(&store).await;
     let read = reader.read_all("op").await.expect("the store answers");
     store.restore(earlier, NEVER);
     for key in ["c", "d", "e"] {
@@ -162,7 +164,7 @@
         store.put("op", key, &json!(1));
     }
     store.page_reads_and_restore(1, store.version());
-    let reader = reader(&store).await;
+    let reader = start_reader(&store).await;
     let read = reader.read_all("op").await;
     expect_that!(read.err(), some(eq(&StoreError::EraChanged)));
     expect_that!(
@@ -177,7 +179,7 @@
     let store = Store::default();
     store.put("op", "a", &json!(1));
     store.set_era(5);
-    let reader = reader(&store).await;
+    let reader = start_reader(&store).await;
     expect_that!(reader.read_all("op").await.is_ok(), eq(true));
     store.set_era(4);
     let late = reader.read_all("op").await;
@@ -194,7 +196,7 @@
     let earlier = store.version();
     let check = async {
         let metrics: Rc<Metrics> = Rc::default();
-        let _mirror = measured(&store, metrics.clone()).await;
+        let _mirror = start_mirror_with_metrics(&store, metrics.clone()).await;
         let calls = |cause: &str| {
             let text = metrics.text();
             let label = format!("cause=\"{cause}\",table=\"servers\"");
@@ -245,8 +247,8 @@
     let earlier = store.version();
     store.put("larkfall", "duty/a", &duty("before"));
     let check = async {
-        let mirror = mirror(&store).await;
-        let read = rows_until(&mirror, "duty/a").await;
+        let mirror = start_mirror(&store).await;
+        let read = collect_rows_until(&mirror, "duty/a").await;
         let known = read.iter().find(|row| *row.key == *"duty/a");
         let known = known.expect("it was read").revision;
         store.restore(earlier, NEVER);
@@ -293,8 +295,8 @@
         &member_entry(0, ([127, 0, 0, 1], 1).into(), "ready"),
     );
     let check = async {
-        let mirror = mirror(&store).await;
-        rows_until(&mirror, "resource/member/platform/db1.i-0").await;
+        let mirror = start_mirror(&store).await;
+        collect_rows_until(&mirror, "resource/member/platform/db1.i-0").await;
         let earlier = store.version();
         store.set_fault(Fault::Silent);
         store.put(
