--- a/src/node/api.rs
+++ b/src/node/api.rs
@@ -119,21 +119,23 @@
 async fn opinion(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
     let (group, term) = unpacked(&body)?;
     let (reply, answer) = oneshot::channel();
-    let _ = api.decisions.send(Message::Opinion { group, term, reply });
+    let _ = api
+        .decisions
+        .send(Message::QueryOpinion { group, term, reply });
     Ok(packed(&answer.await.ok().flatten()))
 }
 
 async fn reach(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
     let group = unpacked(&body)?;
     let (reply, answer) = oneshot::channel();
-    let _ = api.decisions.send(Message::Reach { group, reply });
+    let _ = api.decisions.send(Message::QueryMajority { group, reply });
     Ok(packed(&answer.await.ok().flatten()))
 }
 
 async fn revoke(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
     let group = unpacked(&body)?;
     let (reply, given_up) = oneshot::channel();
-    let _ = api.decisions.send(Message::Revoke { group, reply });
+    let _ = api.decisions.send(Message::RevokeLease { group, reply });
     let given_up = given_up.await;
     let given_up = given_up.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
     Ok(packed(&given_up))
@@ -141,7 +143,7 @@
 
 async fn warn(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
     let from = unpacked(&body)?;
-    let _ = api.decisions.send(Message::Warned { from });
+    let _ = api.decisions.send(Message::AlertReceived { from });
     Ok(packed(&()))
 }
 
--- a/src/node/configuration/store.rs
+++ b/src/node/configuration/store.rs
@@ -16,7 +16,7 @@
 use crate::declarations::resource::Key;
 use crate::declarations::snapshot::{Primary, Snapshot, Stored};
 use crate::events;
-use crate::node::duty::DUTY;
+use crate::node::duty::DUTY_PREFIX;
 use crate::node::news::Question;
 
 /// A row, and when it was taken.
@@ -171,7 +171,7 @@
             self.primaries.extend(primary);
             return Ok(());
         }
-        if let Some(group) = row.key.strip_prefix(DUTY) {
+        if let Some(group) = row.key.strip_prefix(DUTY_PREFIX) {
             let known = self.duties.remove(group);
             let told = parsed::<Duty>(row);
             // An unreadable record names no holder; whoever takes the duty replaces it.
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -16,7 +16,7 @@
 use tokio::task::AbortHandle;
 
 use super::context::Context;
-use super::message::{Ask, Denial, Dump, Grant, Health, Incarnation, Message, Settle, SettleNeed};
+use super::message::{Ask, Denial, Dump, Grant, Health, Incarnation, Message, Settle, Unconfirmed};
 use crate::borders::member::Member;
 use crate::borders::roster::Listing;
 use crate::borders::table::Polling;
@@ -176,7 +176,7 @@
                 self.own();
                 self.tell_listed();
             }
-            Message::Revoke { group, reply } => {
+            Message::RevokeLease { group, reply } => {
                 self.handle(&group, Event::RevokeLease);
                 let owned = self.groups.get(&group);
                 // Who promotes as well must not be overtaken by an order that did not
@@ -186,18 +186,18 @@
             }
             Message::LeaveMost(most) => self.set_leave_most(most),
             Message::Listed => self.tell_listed(),
-            Message::Refused => self.reach.record_refusal(self.context.now()),
-            Message::Warned { from } => self.take_warning(&from),
+            Message::ExchangeRefused => self.reach.record_refusal(self.context.now()),
+            Message::AlertReceived { from } => self.take_warning(&from),
             Message::Reached(words) => {
                 self.reach.record_replies(&words);
                 self.context.settled.send_replace(true);
             }
-            Message::Reach { group, reply } => {
+            Message::QueryMajority { group, reply } => {
                 let now = self.context.now();
                 let owned = self.groups.get(&group);
                 let _ = reply.send(owned.and_then(|owned| owned.group.reaches_majority(now)));
             }
-            Message::Opinion { group, term, reply } => {
+            Message::QueryOpinion { group, term, reply } => {
                 let owned = self.groups.get(&group);
                 let _ = reply.send(owned.map(|owned| owned.group.suspects_primary(term)));
                 self.handle(&group, Event::OpinionRequested);
@@ -258,13 +258,13 @@
         let member = settle.member;
         let deadline = settle.deadline;
         let event = match settle.need {
-            SettleNeed::Wrote(position) => Event::ConfirmWrite {
+            Unconfirmed::Write(position) => Event::ConfirmWrite {
                 id,
                 member,
                 position,
                 deadline,
             },
-            SettleNeed::Read {
+            Unconfirmed::Read {
                 term,
                 since,
                 position,
@@ -316,7 +316,7 @@
 ) {
     loop {
         border.wait_until_gone().await;
-        context.tell(&group, incarnation, Event::ConnectionLost { member });
+        context.send_event(&group, incarnation, Event::ConnectionLost { member });
         tokio::time::sleep(GONE_RETRY).await;
     }
 }
--- a/src/node/driver/acting.rs
+++ b/src/node/driver/acting.rs
@@ -69,7 +69,7 @@
                         group: group.clone(),
                         claim,
                     });
-                    context.tell(&group, incarnation, Event::DutyClaimed { won });
+                    context.send_event(&group, incarnation, Event::DutyClaimed { won });
                 });
             }
             Action::Fence { member, term } => {
@@ -159,7 +159,7 @@
         let incarnation = owned.incarnation;
         tokio::task::spawn_local(async move {
             let event = work.await;
-            context.tell(&group, incarnation, event);
+            context.send_event(&group, incarnation, event);
         });
     }
 
@@ -197,7 +197,7 @@
                         near,
                         suspects,
                     };
-                    context.tell(&group, incarnation, event);
+                    context.send_event(&group, incarnation, event);
                 }
             });
         }
@@ -227,7 +227,7 @@
             let listed = context.table.head().await.is_ok();
             let given_up = futures::future::join_all(asked).await;
             if listed && given_up.into_iter().all(|done| done) {
-                context.tell(&group, incarnation, Event::LeasesRevoked { term });
+                context.send_event(&group, incarnation, Event::LeasesRevoked { term });
             }
         });
     }
--- a/src/node/duty.rs
+++ b/src/node/duty.rs
@@ -9,7 +9,7 @@
 use crate::events;
 
 /// Rows of duties, by group.
-pub const DUTY: &str = "duty/";
+pub const DUTY_PREFIX: &str = "duty/";
 /// Time for the table's answer: it takes 20 ms on a calm day. Longer, and the box
 /// goes on without it, since members are fenced and callers wait.
 const TABLE_WAIT: Duration = Duration::from_millis(400);
@@ -59,9 +59,9 @@
     let expected = duty.revision;
     Commit {
         // The table answers a repeated commit from memory, so each claim has its own.
-        nonce: format!("{DUTY}{group}/{}/{expected}", duty.generation),
+        nonce: format!("{DUTY_PREFIX}{group}/{}/{expected}", duty.generation),
         writes: vec![Write {
-            key: format!("{DUTY}{group}").into(),
+            key: format!("{DUTY_PREFIX}{group}").into(),
             expect: Some(expected),
             value: serde_json::to_value(duty).ok(),
         }],
--- a/src/node/message.rs
+++ b/src/node/message.rs
@@ -72,14 +72,14 @@
     pub group: Arc<str>,
     pub incarnation: Incarnation,
     pub member: usize,
-    pub need: SettleNeed,
+    pub need: Unconfirmed,
     pub deadline: Duration,
     pub reply: oneshot::Sender<Outcome>,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub enum SettleNeed {
-    Wrote(Position),
+pub enum Unconfirmed {
+    Write(Position),
     /// A read from the primary, which arrived at `since` or may be as old as that.
     Read {
         term: u64,
@@ -123,7 +123,7 @@
     Boxes(Arc<[Listing]>),
     /// Another box has fenced a majority of the group. The reply says whether it need
     /// not wait for this one any more.
-    Revoke {
+    RevokeLease {
         group: Arc<str>,
         reply: oneshot::Sender<bool>,
     },
@@ -132,20 +132,20 @@
     /// Enough time has passed since this box was listed.
     Listed,
     /// An exchange failed as in a cut: its owner reached no majority, or was not reached.
-    Refused,
+    ExchangeRefused,
     /// A box of the same failure domain finds the others silent.
-    Warned {
+    AlertReceived {
         from: Arc<str>,
     },
     /// Owners of other groups have said whether they reach a majority, as far as they
     /// can tell.
     Reached(Vec<Option<bool>>),
     /// Whether this box, as an owner, reaches a majority of the group.
-    Reach {
+    QueryMajority {
         group: Arc<str>,
         reply: oneshot::Sender<Option<bool>>,
     },
-    Opinion {
+    QueryOpinion {
         group: Arc<str>,
         term: u64,
         reply: oneshot::Sender<Option<bool>>,
--- a/src/node/once.rs
+++ b/src/node/once.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use super::exchange::{Exchange, Failure, Reply, Server};
-use super::message::SettleNeed;
+use super::message::Unconfirmed;
 use super::owner::Owner;
-use super::place::Place;
 use super::pool::Pooled;
+use super::slot::Slot;
 use crate::borders::upstream::{Answer, Keyed};
 use crate::decisions::confirmation::Outcome;
 use crate::decisions::group::Target;
@@ -29,7 +29,9 @@
 ) -> Result<Reply, Failure> {
     let mut sent = false;
     loop {
-        let placed = owner.place(exchange, Target::Primary, deadline).await;
+        let placed = owner
+            .acquire_slot(exchange, Target::Primary, deadline)
+            .await;
         let place = match placed {
             Ok(place) => place,
             // Not run is only true while no attempt was sent.
@@ -56,8 +58,8 @@
             let Some(position) = answer.position else {
                 return Ok(reply(answer, server, false));
             };
-            let need = SettleNeed::Wrote(position);
-            let settled = owner.settle(&exchange.group, incarnation, member, need, deadline);
+            let need = Unconfirmed::Write(position);
+            let settled = owner.confirm(&exchange.group, incarnation, member, need, deadline);
             if settled.await == Outcome::Confirmed {
                 return Ok(reply(answer, server, false));
             }
@@ -83,7 +85,7 @@
 
 async fn attempt(
     owner: &Owner,
-    place: &Place,
+    place: &Slot,
     mut connection: Pooled,
     exchange: &Exchange,
     key: &Arc<str>,
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -10,10 +10,10 @@
 
 use super::context::Context;
 use super::exchange::{Effect, Exchange, Failure, Reply, Server, Status};
-use super::message::{Ask, Denial, Grant, Incarnation, Message, Settle, SettleNeed};
+use super::message::{Ask, Denial, Grant, Incarnation, Message, Settle, Unconfirmed};
 use super::once;
-use super::place::{Lease, Place};
 use super::pool::{Pool, Pooled};
+use super::slot::{Lease, Slot};
 use crate::borders::upstream::{Answer, ConnectError, Rejection, UpstreamError, Verdict};
 use crate::decisions::budget::Budget;
 use crate::decisions::confirmation::Outcome;
@@ -117,7 +117,9 @@
     async fn fresh(&self, exchange: &Exchange, deadline: Duration) -> Result<Reply, Failure> {
         let arrived = self.context.now();
         loop {
-            let place = self.place(exchange, exchange.target, deadline).await?;
+            let place = self
+                .acquire_slot(exchange, exchange.target, deadline)
+                .await?;
             let connection = match self.connect(&place, exchange).await {
                 Ok(connection) => connection,
                 Err(retry_after) => {
@@ -170,12 +172,12 @@
     }
 
     /// Asks the loop for a place at a member.
-    pub async fn place(
+    pub async fn acquire_slot(
         &self,
         exchange: &Exchange,
         target: Target,
         deadline: Duration,
-    ) -> Result<Place, Failure> {
+    ) -> Result<Slot, Failure> {
         let group = &exchange.group;
         let (reply, answer) = oneshot::channel();
         let id = self.next();
@@ -206,7 +208,7 @@
             Denial::NotRun(refusal) => Failure::NotRun(refusal),
             Denial::NotOwner => Failure::NotOwner,
         })?;
-        Ok(Place {
+        Ok(Slot {
             context: self.context.clone(),
             group: group.clone(),
             grant,
@@ -217,7 +219,7 @@
     }
 
     /// A connection for a place; an error says when to try again.
-    pub async fn connect(&self, place: &Place, exchange: &Exchange) -> Result<Pooled, Duration> {
+    pub async fn connect(&self, place: &Slot, exchange: &Exchange) -> Result<Pooled, Duration> {
         let workspace = exchange.workspace.as_ref();
         let taken = self.pool.take(&place.grant.spec, workspace).await;
         taken.map_err(|error| {
@@ -313,13 +315,7 @@
         }
     }
 
-    fn note_lost(
-        &self,
-        place: &Place,
-        exchange: &Exchange,
-        began: Duration,
-        error: &UpstreamError,
-    ) {
+    fn note_lost(&self, place: &Slot, exchange: &Exchange, began: Duration, error: &UpstreamError) {
         let member = place.grant.member;
         let after = self.context.now() - began;
         match error {
@@ -365,13 +361,13 @@
         let position = connection.position();
         // A commit that failed or that wrote nothing promises nothing.
         let need = match answer.position {
-            Some(position) if wrote && grant.primary => Some(SettleNeed::Wrote(position)),
+            Some(position) if wrote && grant.primary => Some(Unconfirmed::Write(position)),
             _ => read_need(&place, target, since, position),
         };
         self.pool.put(&place.grant.spec, connection);
         drop(place);
         if let Some(need) = need {
-            let settled = self.settle(&exchange.group, incarnation, member, need, deadline);
+            let settled = self.confirm(&exchange.group, incarnation, member, need, deadline);
             let outcome = settled.await;
             self.after_settling(outcome, need, exchange)?;
         }
@@ -391,13 +387,13 @@
     fn after_settling(
         &self,
         outcome: Outcome,
-        need: SettleNeed,
+        need: Unconfirmed,
         exchange: &Exchange,
     ) -> Result<(), Failure> {
         match (outcome, need) {
             (Outcome::Confirmed, _) => Ok(()),
-            (Outcome::Unknown, SettleNeed::Wrote(_)) => Err(self.unknown(exchange)),
-            (Outcome::Unknown, SettleNeed::Read { .. }) => Err(Failure::NotRun(Refusal {
+            (Outcome::Unknown, Unconfirmed::Write(_)) => Err(self.unknown(exchange)),
+            (Outcome::Unknown, Unconfirmed::Read { .. }) => Err(Failure::NotRun(Refusal {
                 via: Via::Owner,
                 ..Refusal::new(Reason::CutOff, CUT_OFF_RETRY)
             })),
@@ -405,12 +401,12 @@
     }
 
     /// Waits until a majority is seen to hold or know what `need` says.
-    pub async fn settle(
+    pub async fn confirm(
         &self,
         group: &Arc<str>,
         incarnation: Incarnation,
         member: usize,
-        need: SettleNeed,
+        need: Unconfirmed,
         deadline: Duration,
     ) -> Outcome {
         let before = self.context.now();
@@ -450,7 +446,7 @@
         let opened = exchange.setup.opening.is_some();
         if opened && let Some(need) = read_need(&lease.place, lease.target, since, None) {
             let (incarnation, member) = (grant.incarnation, grant.member);
-            let settled = self.settle(&exchange.group, incarnation, member, need, deadline);
+            let settled = self.confirm(&exchange.group, incarnation, member, need, deadline);
             self.after_settling(settled.await, need, exchange)?;
         }
         let id = self.next();
@@ -543,18 +539,18 @@
 
 /// What must be seen before a read's answer may be given out.
 fn read_need(
-    place: &Place,
+    place: &Slot,
     target: Target,
     since: Duration,
     position: Option<Position>,
-) -> Option<SettleNeed> {
+) -> Option<Unconfirmed> {
     let term = place.grant.term;
     let since = match target {
         Target::Strict => since,
         Target::Replica { max_age } if place.grant.primary => place.began.saturating_sub(max_age),
         _ => return None,
     };
-    Some(SettleNeed::Read {
+    Some(Unconfirmed::Read {
         term,
         since,
         position,
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -356,7 +356,7 @@
                 tokio::task::spawn_local(async move {
                     let verdict = committed(&*table, &commit).await;
                     if let Ok(Verdict::Done(revision)) = &verdict {
-                        note_changed(&log, &commit, *revision);
+                        log_changes(&log, &commit, *revision);
                     }
                     let _ = reply.send(verdict);
                 });
@@ -366,7 +366,7 @@
 }
 
 /// Names the resources that an operator has changed.
-pub fn note_changed(log: &Logger, commit: &Commit, revision: Revision) {
+pub fn log_changes(log: &Logger, commit: &Commit, revision: Revision) {
     for write in &commit.writes {
         let deleted = write.value.is_none();
         let fields: [(_, &dyn std::fmt::Display); 3] = [
--- a/src/node/session.rs
+++ b/src/node/session.rs
@@ -159,7 +159,7 @@
             self.context.metrics.not_run.add(1, &[]);
         }
         if failure.speaks_for_cut() {
-            let _ = self.context.decisions.send(Message::Refused);
+            let _ = self.context.decisions.send(Message::ExchangeRefused);
         }
         self.held = None;
         if exchange.effect == Effect::Writes && *failure == Failure::Unknown {
--- a/src/node/place.rs
+++ b/src/node/slot.rs
@@ -10,7 +10,7 @@
 use crate::decisions::group::{Event, Target};
 
 /// A place at a member, given back when it is dropped.
-pub struct Place {
+pub struct Slot {
     pub context: Rc<Context>,
     pub group: Arc<str>,
     pub grant: Grant,
@@ -21,7 +21,7 @@
     pub resting: bool,
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         let member = self.grant.member;
         self.tell(match self.resting {
@@ -34,7 +34,7 @@
     }
 }
 
-impl Place {
+impl Slot {
     fn took(&self) -> Duration {
         self.context.now().saturating_sub(self.turn)
     }
@@ -61,14 +61,14 @@
     /// Tells the loop what this statement saw of the member.
     pub fn tell(&self, event: Event) {
         let incarnation = self.grant.incarnation;
-        self.context.tell(&self.group, incarnation, event);
+        self.context.send_event(&self.group, incarnation, event);
     }
 }
 
 /// A connection held for a session between its exchanges.
 pub struct Lease {
     pub connection: Pooled,
-    pub place: Place,
+    pub place: Slot,
     pub target: Target,
     /// The open transaction may have changed data.
     pub wrote: bool,
@@ -77,7 +77,7 @@
 
 impl Context {
     /// Tells the loop what happened to one incarnation of a group.
-    pub fn tell(&self, group: &Arc<str>, incarnation: Incarnation, event: Event) {
+    pub fn send_event(&self, group: &Arc<str>, incarnation: Incarnation, event: Event) {
         let _ = self.decisions.send(Message::Group {
             group: group.clone(),
             incarnation,
