--- a/tests/unit/events.rs
+++ b/tests/unit/events.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use larkfall::borders::table::{self, Commit};
 use larkfall::events::ALL;
-use larkfall::node::run::note_changed;
+use larkfall::node::run::log_changes;
 use slog::Drain;
 
 #[gtest]
@@ -66,7 +66,7 @@
             write("resource/member/p/m", None),
         ],
     };
-    note_changed(&log, &commit, 7.into());
+    log_changes(&log, &commit, 7.into());
     let text = lines.0.lock().expect("no panic under the lock").clone();
     let text = String::from_utf8(text).expect("JSON is text");
     expect_that!(text.lines().count(), eq(2));
