--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -3,9 +3,9 @@
 //! One `select!` takes messages and the time; each group's decisions answer with
 //! actions. What needs I/O is spawned and comes back as a message.
 
-mod acting;
-mod owning;
-mod reaching;
+mod actions;
+mod ownership;
+mod partition;
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,7 +16,9 @@
 use tokio::task::AbortHandle;
 
 use super::context::Context;
-use super::message::{Ask, Denial, Dump, Grant, Health, Incarnation, Message, Settle, Unconfirmed};
+use super::message::{
+    ConfirmRequest, Denial, Dump, Grant, Health, Incarnation, Message, SlotRequest, Unconfirmed,
+};
 use crate::borders::member::Member;
 use crate::borders::roster::Listing;
 use crate::borders::table::Polling;
@@ -28,18 +30,18 @@
 use crate::declarations::snapshot::{Plan, Snapshot};
 use crate::events;
 
-const GONE_RETRY: Duration = Duration::from_millis(200);
+const GONE_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// A box that owns more groups looks at each of them less often: the traffic for
 /// control stays within its budget, detection takes longer.
-const GROUPS_AT_FULL_RATE: u32 = 6;
+const GROUPS_AT_FULL_PROBE_RATE: u32 = 6;
 /// Owners that are asked what they think of a primary: enough for a majority's word
 /// from every failure domain, and not all of dozens.
-const MOST_ASKED: usize = 10;
+const MAX_ASKED_OWNERS: usize = 10;
 /// Time in which a change of the list of boxes has reached all who read it while the
 /// table answers: news rests for two seconds, a forgotten history for about one.
-const LISTED_REST: Duration = Duration::from_secs(5);
-const LEAST_SLEEP: Duration = Duration::from_millis(1);
-const MOST_SLEEP: Duration = Duration::from_secs(1);
+const LISTING_DELAY: Duration = Duration::from_secs(5);
+const MIN_SLEEP: Duration = Duration::from_millis(1);
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
 /// A group this box owns, with its members' borders.
 struct Owned {
@@ -52,7 +54,7 @@
     health: watch::Sender<Health>,
     /// The duty as this box has taken it last.
     claim: Option<Claim>,
-    wake: Duration,
+    next_tick: Duration,
     /// This box does not own the group any more, and ends the ballot that it has begun.
     departing: bool,
 }
@@ -72,15 +74,15 @@
     inbox: mpsc::UnboundedReceiver<Message>,
     groups: HashMap<Arc<str>, Owned>,
     /// Who asked for a member, and of which incarnation.
-    grants: HashMap<u64, (Incarnation, oneshot::Sender<Result<Grant, Denial>>)>,
-    settles: HashMap<u64, (Incarnation, oneshot::Sender<Outcome>)>,
+    grant_replies: HashMap<u64, (Incarnation, oneshot::Sender<Result<Grant, Denial>>)>,
+    confirm_replies: HashMap<u64, (Incarnation, oneshot::Sender<Outcome>)>,
     snapshot: Arc<Snapshot>,
     ranking: Ranking,
     /// When every box may be taken to know this one from the list.
-    listed: Option<Duration>,
-    knows_boxes: bool,
-    reach: Monitor,
-    next: u64,
+    listing_settled: Option<Duration>,
+    boxes_received: bool,
+    partition_monitor: Monitor,
+    next_id: u64,
 }
 
 impl Driver {
@@ -94,14 +96,14 @@
             settings,
             inbox,
             groups: HashMap::new(),
-            grants: HashMap::new(),
-            settles: HashMap::new(),
+            grant_replies: HashMap::new(),
+            confirm_replies: HashMap::new(),
             snapshot: Arc::default(),
             ranking: Ranking::default(),
-            listed: None,
-            knows_boxes: false,
-            reach: Monitor::default(),
-            next: 1,
+            listing_settled: None,
+            boxes_received: false,
+            partition_monitor: Monitor::default(),
+            next_id: 1,
         }
     }
 
@@ -109,87 +111,90 @@
     pub async fn run(mut self) {
         loop {
             let now = self.context.now();
-            let wake = self.groups.values().map(|owned| owned.wake);
-            let wake = wake.chain(self.reach.query_due(now)).min();
-            let sleep = wake.map_or(MOST_SLEEP, |wake| wake.saturating_sub(now));
+            let wake = self.groups.values().map(|owned| owned.next_tick);
+            let wake = wake.chain(self.partition_monitor.query_due(now)).min();
+            let sleep = wake.map_or(MAX_SLEEP, |wake| wake.saturating_sub(now));
             tokio::select! {
                 biased;
                 message = self.inbox.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                () = tokio::time::sleep(sleep.clamp(LEAST_SLEEP, MOST_SLEEP)) => {}
+                () = tokio::time::sleep(sleep.clamp(MIN_SLEEP, MAX_SLEEP)) => {}
             }
-            self.tick();
+            self.tick_due_groups();
             self.drop_departed();
             let deposing = |owned: &Owned| owned.group.is_deposing();
             self.context
                 .deposing
                 .set(self.groups.values().any(deposing));
-            self.note_cut_off();
+            self.check_partition();
         }
     }
 
-    fn tick(&mut self) {
+    fn tick_due_groups(&mut self) {
         let now = self.context.now();
-        let due = self.groups.iter().filter(|(_, owned)| owned.wake <= now);
+        let due = self
+            .groups
+            .iter()
+            .filter(|(_, owned)| owned.next_tick <= now);
         let due: Vec<Arc<str>> = due.map(|(id, _)| id.clone()).collect();
         for id in due {
-            self.handle(&id, Event::Tick);
+            self.handle_event(&id, Event::Tick);
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
-            Message::Ask(ask) => self.ask(ask),
+            Message::RequestSlot(request) => self.request_slot(request),
             Message::Withdraw { group, id } => {
-                if self.grants.remove(&id).is_some() {
-                    self.handle(&group, Event::Withdrawn { id });
+                if self.grant_replies.remove(&id).is_some() {
+                    self.handle_event(&group, Event::Withdrawn { id });
                 }
             }
-            Message::Settle(settle) => self.settle(settle),
-            Message::Group {
+            Message::Confirm(request) => self.request_confirmation(request),
+            Message::GroupEvent {
                 group,
                 incarnation,
                 event,
             } => {
                 let current = self.groups.get(&group).map(|owned| owned.incarnation);
                 if current == Some(incarnation) {
-                    self.note_sight(&group, &event);
-                    self.handle(&group, event);
+                    self.record_contact(&group, &event);
+                    self.handle_event(&group, event);
                 }
             }
             Message::Snapshot(snapshot) => {
                 let before = std::mem::replace(&mut self.snapshot, snapshot);
-                self.own();
-                self.tell_primaries();
-                self.tell_duties(&before);
+                self.update_owned_groups();
+                self.announce_primaries();
+                self.report_taken_duties(&before);
             }
-            Message::Claimed { group, claim } => {
+            Message::DutyClaimed { group, claim } => {
                 if let Some(owned) = self.groups.get_mut(&group) {
                     owned.claim = claim;
                 }
             }
             Message::Boxes(boxes) => {
                 self.ranking = Ranking::new(&boxes);
-                self.note_listed(&boxes);
-                self.own();
-                self.tell_listed();
+                self.update_listing(&boxes);
+                self.update_owned_groups();
+                self.report_listing();
             }
             Message::RevokeLease { group, reply } => {
-                self.handle(&group, Event::RevokeLease);
+                self.handle_event(&group, Event::RevokeLease);
                 let owned = self.groups.get(&group);
                 // Who promotes as well must not be overtaken by an order that did not
                 // wait: its own may be under way, under a lower number.
                 let given_up = owned.is_none_or(|owned| !owned.group.is_deposing());
                 let _ = reply.send(given_up);
             }
-            Message::LeaveMost(most) => self.set_leave_most(most),
-            Message::Listed => self.tell_listed(),
-            Message::ExchangeRefused => self.reach.record_refusal(self.context.now()),
-            Message::AlertReceived { from } => self.take_warning(&from),
-            Message::Reached(words) => {
-                self.reach.record_replies(&words);
+            Message::DrainLimit(limit) => self.set_drain_limit(limit),
+            Message::ListingSettled => self.report_listing(),
+            Message::ExchangeRefused => self.partition_monitor.record_refusal(self.context.now()),
+            Message::AlertReceived { from } => self.handle_alert(&from),
+            Message::MajorityReplies(replies) => {
+                self.partition_monitor.record_replies(&replies);
                 self.context.settled.send_replace(true);
             }
             Message::QueryMajority { group, reply } => {
@@ -200,7 +205,7 @@
             Message::QueryOpinion { group, term, reply } => {
                 let owned = self.groups.get(&group);
                 let _ = reply.send(owned.map(|owned| owned.group.suspects_primary(term)));
-                self.handle(&group, Event::OpinionRequested);
+                self.handle_event(&group, Event::OpinionRequested);
             }
             Message::Dump(reply) => {
                 let now = self.context.now();
@@ -215,13 +220,13 @@
         }
     }
 
-    fn ask(&mut self, ask: Ask) {
-        let owned = self.groups.get(&ask.group);
+    fn request_slot(&mut self, slot_request: SlotRequest) {
+        let owned = self.groups.get(&slot_request.group);
         let Some(owned) = owned.filter(|owned| !owned.departing) else {
-            let _ = ask.reply.send(Err(Denial::NotOwner));
+            let _ = slot_request.reply.send(Err(Denial::NotOwner));
             return;
         };
-        let (partner, weight) = match ask.flow {
+        let (partner, weight) = match slot_request.flow {
             Some(flow) => (flow.name, flow.weight),
             None => {
                 let partner = owned.group.plan.group.partner.clone();
@@ -230,34 +235,36 @@
                 (partner, weight)
             }
         };
-        let id = ask.id;
-        self.grants.insert(id, (owned.incarnation, ask.reply));
+        let id = slot_request.id;
+        self.grant_replies
+            .insert(id, (owned.incarnation, slot_request.reply));
         let request = Request {
             id,
             partner,
             weight,
-            target: ask.target,
-            floor: ask.floor,
+            target: slot_request.target,
+            floor: slot_request.floor,
             believed: true,
             arrived: self.context.now(),
-            deadline: ask.deadline,
-            aim: ask.aim,
+            deadline: slot_request.deadline,
+            aim: slot_request.aim,
         };
-        self.handle(&ask.group, Event::Arrived(request));
+        self.handle_event(&slot_request.group, Event::Arrived(request));
     }
 
-    fn settle(&mut self, settle: Settle) {
-        let current = self.groups.get(&settle.group);
-        if current.is_none_or(|owned| owned.incarnation != settle.incarnation) {
-            let _ = settle.reply.send(Outcome::Unknown);
+    fn request_confirmation(&mut self, request: ConfirmRequest) {
+        let current = self.groups.get(&request.group);
+        if current.is_none_or(|owned| owned.incarnation != request.incarnation) {
+            let _ = request.reply.send(Outcome::Unknown);
             return;
         }
-        let id = self.next;
-        self.next += 1;
-        self.settles.insert(id, (settle.incarnation, settle.reply));
-        let member = settle.member;
-        let deadline = settle.deadline;
-        let event = match settle.need {
+        let id = self.next_id;
+        self.next_id += 1;
+        self.confirm_replies
+            .insert(id, (request.incarnation, request.reply));
+        let member = request.member;
+        let deadline = request.deadline;
+        let event = match request.unconfirmed {
             Unconfirmed::Write(position) => Event::ConfirmWrite {
                 id,
                 member,
@@ -276,10 +283,10 @@
                 deadline,
             },
         };
-        self.handle(&settle.group, event);
+        self.handle_event(&request.group, event);
     }
 
-    fn handle(&mut self, id: &Arc<str>, event: Event) {
+    fn handle_event(&mut self, id: &Arc<str>, event: Event) {
         let now = self.context.now();
         let mut events = vec![event];
         while let Some(event) = events.pop() {
@@ -287,7 +294,7 @@
                 return;
             };
             let actions = owned.group.handle(event, now);
-            owned.wake = owned.group.next_tick();
+            owned.next_tick = owned.group.next_tick();
             let group = &owned.group;
             owned.health.send_if_modified(|known| {
                 let suspected = known.suspected.iter().copied();
@@ -301,7 +308,7 @@
                 true
             });
             for action in actions {
-                events.extend(self.act(id, action));
+                events.extend(self.perform(id, action));
             }
         }
     }
@@ -317,6 +324,6 @@
     loop {
         border.wait_until_gone().await;
         context.send_event(&group, incarnation, Event::ConnectionLost { member });
-        tokio::time::sleep(GONE_RETRY).await;
+        tokio::time::sleep(GONE_RETRY_DELAY).await;
     }
 }
--- a/src/node/driver/acting.rs
+++ b/src/node/driver/actions.rs
@@ -9,7 +9,7 @@
 
 impl Driver {
     /// Carries out one action. What it brings about at once is returned.
-    pub(super) fn act(&mut self, id: &Arc<str>, action: Action) -> Option<Event> {
+    pub(super) fn perform(&mut self, id: &Arc<str>, action: Action) -> Option<Event> {
         let owned = self.groups.get(id)?;
         match action {
             Action::Assign {
@@ -25,11 +25,11 @@
                     term,
                     primary: owned.group.primary() == Some(member),
                     believed,
-                    patience: owned.group.read_timeout(member, self.context.now()),
-                    rests: self.settings.idle_frees_slot,
+                    read_timeout: owned.group.read_timeout(member, self.context.now()),
+                    idle_frees_slot: self.settings.idle_frees_slot,
                     health: owned.health.subscribe(),
                 };
-                let reply = self.grants.remove(&request);
+                let reply = self.grant_replies.remove(&request);
                 let gone = reply.is_none_or(|(_, reply)| reply.send(Ok(grant)).is_err());
                 let took = self.settings.service_time;
                 return gone.then_some(Event::SlotReleased { member, took });
@@ -38,7 +38,7 @@
                 id: request,
                 refusal,
             } => {
-                if let Some((_, reply)) = self.grants.remove(&request) {
+                if let Some((_, reply)) = self.grant_replies.remove(&request) {
                     let _ = reply.send(Err(Denial::NotRun(refusal)));
                 }
             }
@@ -46,12 +46,12 @@
                 id: request,
                 outcome,
             } => {
-                if let Some((_, reply)) = self.settles.remove(&request) {
+                if let Some((_, reply)) = self.confirm_replies.remove(&request) {
                     let _ = reply.send(outcome);
                 }
             }
             Action::Probe { member } => self.probe(id, owned, member),
-            Action::RevokeLeases { term } => self.revoke(id, owned, term),
+            Action::RevokeLeases { term } => self.revoke_leases(id, owned, term),
             // Its process may end before the ballot, and leave fences behind.
             Action::ClaimDuty if *self.context.leaving.borrow() => {
                 return Some(Event::DutyClaimed { won: false });
@@ -61,11 +61,11 @@
                 let group = id.clone();
                 let incarnation = owned.incarnation;
                 let ballot = owned.group.ballot();
-                let listed = self.is_listed();
+                let listed = self.is_listing_settled();
                 tokio::task::spawn_local(async move {
                     let claim = duty::claim(&context, &group, &ballot, listed).await;
                     let won = claim.is_some();
-                    let _ = context.decisions.send(Message::Claimed {
+                    let _ = context.decisions.send(Message::DutyClaimed {
                         group: group.clone(),
                         claim,
                     });
@@ -77,7 +77,7 @@
                 let border = owned.members[member].clone();
                 let (context, group) = (self.context.clone(), id.clone());
                 let name = owned.group.plan.members[member].name.clone();
-                self.spawn(id, async move {
+                self.spawn_for_event(id, async move {
                     let answer = border.fence(&bid).await;
                     if let Err(error) = &answer {
                         let fields: [(_, &dyn std::fmt::Display); 4] = [
@@ -97,7 +97,7 @@
             }
             Action::ReleaseFence { member } => {
                 let border = owned.members[member].clone();
-                self.spawn(id, async move {
+                self.spawn_for_event(id, async move {
                     // Whether it worked shows in the next report.
                     let _ = border.release_fence().await;
                     Event::ProbeAll
@@ -112,12 +112,12 @@
                 });
                 let context = self.context.clone();
                 let group = id.clone();
-                self.spawn(id, async move {
-                    let stands = || match &claim {
-                        Some(claim) => duty::stands(&context, &group, claim),
+                self.spawn_for_event(id, async move {
+                    let is_current = || match &claim {
+                        Some(claim) => duty::is_current(&context, &group, claim),
                         None => true,
                     };
-                    let answer = border.promote(term, &order, &stands).await;
+                    let answer = border.promote(term, &order, &is_current).await;
                     Event::Promoted { term, answer }
                 });
             }
@@ -128,12 +128,12 @@
             } => {
                 let border = owned.members[member].clone();
                 let address = owned.group.plan.members[primary].address.clone();
-                self.spawn(id, async move {
+                self.spawn_for_event(id, async move {
                     let _ = border.follow(term, &address).await;
                     Event::ProbeAll
                 });
             }
-            Action::AskOpinions => self.ask_peers(id, owned),
+            Action::AskOpinions => self.ask_opinions(id, owned),
             Action::RecordPrimary { term, primary } => {
                 let name = owned.group.plan.members[primary].name.clone();
                 self.context.metrics.replacements.add(1, &[]);
@@ -144,13 +144,17 @@
                 let record = peers::record(self.context.clone(), id.clone(), term, name);
                 tokio::task::spawn_local(record);
             }
-            Action::Log(note) => self.note(id, &owned.group, &note),
+            Action::Log(note) => self.log_note(id, &owned.group, &note),
         }
         None
     }
 
     /// Does something elsewhere and brings its event back.
-    pub(super) fn spawn(&self, id: &Arc<str>, work: impl Future<Output = Event> + 'static) {
+    pub(super) fn spawn_for_event(
+        &self,
+        id: &Arc<str>,
+        work: impl Future<Output = Event> + 'static,
+    ) {
         let context = self.context.clone();
         let group = id.clone();
         let Some(owned) = self.groups.get(id) else {
@@ -167,7 +171,7 @@
         self.context.metrics.probes.add(1, &[]);
         let border = owned.members[member].clone();
         let began = self.context.now();
-        self.spawn(id, async move {
+        self.spawn_for_event(id, async move {
             let answer = border.status().await;
             Event::Probed {
                 member,
@@ -177,13 +181,13 @@
         });
     }
 
-    pub(super) fn ask_peers(&self, id: &Arc<str>, owned: &Owned) {
+    pub(super) fn ask_opinions(&self, id: &Arc<str>, owned: &Owned) {
         let plan = &owned.group.plan;
         let term = owned.group.term();
         let own = &self.context.settings.name;
         let owners = self.ranking.owners_of(plan).into_iter();
         let others = owners.filter(|listing| listing.name != *own);
-        for listing in others.take(MOST_ASKED) {
+        for listing in others.take(MAX_ASKED_OWNERS) {
             let near = listing.domain == self.context.settings.domain;
             let asked = peers::opinion(self.context.clone(), listing.clone(), id.clone(), term);
             let from = listing.name.clone();
@@ -205,7 +209,7 @@
 
     /// Has all other boxes give up their leases. Where one does not answer, or the
     /// list may be old, the wait goes on to its end.
-    pub(super) fn revoke(&self, id: &Arc<str>, owned: &Owned, term: u64) {
+    pub(super) fn revoke_leases(&self, id: &Arc<str>, owned: &Owned, term: u64) {
         let own = &self.context.settings.name;
         let owners = self.ranking.owners_of(&owned.group.plan);
         if !self.ranking.covers_all_boxes(owners.len()) {
@@ -232,7 +236,7 @@
         });
     }
 
-    pub(super) fn note(&self, id: &Arc<str>, group: &Group, note: &Note) {
+    pub(super) fn log_note(&self, id: &Arc<str>, group: &Group, note: &Note) {
         let name = |member: usize| group.plan.members[member].name.clone();
         let log = &self.context.log;
         match note {
@@ -271,7 +275,7 @@
                 &[
                     ("group", id),
                     ("member", &name(*member)),
-                    ("ago_ms", &in_ms(*age)),
+                    ("ago_ms", &format_age(*age)),
                     ("successors", successors),
                 ],
             ),
@@ -281,7 +285,7 @@
                 &[
                     ("group", id),
                     ("member", &name(*member)),
-                    ("ago_ms", &in_ms(*age)),
+                    ("ago_ms", &format_age(*age)),
                 ],
             ),
             Note::BallotStarted { term } => {
@@ -305,6 +309,6 @@
 }
 
 /// An age in milliseconds, where it is known.
-fn in_ms(age: Option<Duration>) -> String {
+fn format_age(age: Option<Duration>) -> String {
     age.map_or_else(|| "unknown".to_owned(), |age| age.as_millis().to_string())
 }
--- a/src/node/driver/owning.rs
+++ b/src/node/driver/ownership.rs
@@ -11,9 +11,9 @@
 use crate::decisions::duty::Duty;
 
 impl Driver {
-    pub(super) fn own(&mut self) {
+    pub(super) fn update_owned_groups(&mut self) {
         let name = self.context.settings.name.clone();
-        let mut mine: BTreeMap<Arc<str>, (Arc<Plan>, u32, u32)> = BTreeMap::new();
+        let mut owned_plans: BTreeMap<Arc<str>, (Arc<Plan>, u32, u32)> = BTreeMap::new();
         for (id, plan) in &self.snapshot.groups {
             let chosen = self.ranking.owners_of(plan);
             let rank = chosen.iter().position(|listing| listing.name == name);
@@ -21,33 +21,35 @@
                 && !plan.members.is_empty()
             {
                 let owners = chosen.len() as u32;
-                mine.insert(id.clone(), (plan.clone(), rank as u32, owners));
+                owned_plans.insert(id.clone(), (plan.clone(), rank as u32, owners));
             }
         }
         self.groups.retain(|id, owned| {
             // A ballot that nobody ends leaves fences behind, and its group without a primary
             // until others find that out.
-            owned.departing = !mine.contains_key(id);
+            owned.departing = !owned_plans.contains_key(id);
             !owned.departing || owned.group.is_deposing()
         });
-        let crowd = (mine.len() as u32).div_ceil(GROUPS_AT_FULL_RATE).max(1);
-        for (id, (plan, rank, owners)) in mine {
+        let load_factor = (owned_plans.len() as u32)
+            .div_ceil(GROUPS_AT_FULL_PROBE_RATE)
+            .max(1);
+        for (id, (plan, rank, owners)) in owned_plans {
             match self.groups.get_mut(&id) {
                 Some(owned) => {
-                    owned.group.set_rank(rank, crowd);
+                    owned.group.set_rank(rank, load_factor);
                     owned.group.set_owners(owners);
                     if owned.plan != plan {
                         owned.plan = plan.clone();
                         owned.group.set_plan(plan, self.context.now());
-                        self.join_new(&id);
+                        self.add_members(&id);
                     }
                     // What changed may have made something due.
-                    self.handle(&id, Event::Tick);
+                    self.handle_event(&id, Event::Tick);
                 }
-                None => self.start(id, plan, (rank, owners), crowd),
+                None => self.start_group(id, plan, (rank, owners), load_factor),
             }
         }
-        self.dismiss();
+        self.release_departed();
     }
 
     /// Gives up groups that were kept only for a ballot, once it has ended.
@@ -55,18 +57,18 @@
         let done = |owned: &Owned| owned.departing && !owned.group.is_deposing();
         if self.groups.values().any(done) {
             self.groups.retain(|_, owned| !done(owned));
-            self.dismiss();
+            self.release_departed();
         }
     }
 
     /// Answers those who waited for a group that is not owned any more.
-    pub(super) fn dismiss(&mut self) {
+    pub(super) fn release_departed(&mut self) {
         let live: HashSet<Incarnation> = self.groups.values().map(|o| o.incarnation).collect();
         // Dropped, a grant's reply says that this box is no owner, and a
         // settlement's that the outcome is unknown.
-        self.grants
+        self.grant_replies
             .retain(|_, (incarnation, _)| live.contains(incarnation));
-        self.settles
+        self.confirm_replies
             .retain(|_, (incarnation, _)| live.contains(incarnation));
         let addresses = self.groups.values().flat_map(|owned| {
             let share = owned.group.idle_connections();
@@ -77,20 +79,20 @@
         self.context.owned.send_replace(addresses);
     }
 
-    pub(super) fn start(
+    pub(super) fn start_group(
         &mut self,
         id: Arc<str>,
         plan: Arc<Plan>,
         (rank, owners): (u32, u32),
-        crowd: u32,
+        load_factor: u32,
     ) {
         let now = self.context.now();
-        let incarnation = self.next;
-        self.next += 1;
+        let incarnation = self.next_id;
+        self.next_id += 1;
         let seed = rand::rng().random();
         let domain = self.context.settings.domain.clone();
         let mut group = Group::new(plan.clone(), domain, rank, self.settings, seed, now);
-        group.set_rank(rank, crowd);
+        group.set_rank(rank, load_factor);
         group.set_owners(owners);
         let owned = Owned {
             incarnation,
@@ -100,17 +102,17 @@
             watches: Vec::new(),
             health: watch::channel(Health::default()).0,
             claim: None,
-            wake: now,
+            next_tick: now,
             departing: false,
         };
         self.groups.insert(id.clone(), owned);
-        self.join_new(&id);
-        let listed = self.is_listed();
-        self.handle(&id, Event::BoxListed { listed });
+        self.add_members(&id);
+        let listed = self.is_listing_settled();
+        self.handle_event(&id, Event::BoxListed { listed });
     }
 
     /// Makes the borders of members that have none yet.
-    pub(super) fn join_new(&mut self, id: &Arc<str>) {
+    pub(super) fn add_members(&mut self, id: &Arc<str>) {
         let Some(owned) = self.groups.get_mut(id) else {
             return;
         };
@@ -128,56 +130,56 @@
     }
 
     /// Notes since when the list of boxes has named this one.
-    pub(super) fn note_listed(&mut self, boxes: &[Listing]) {
+    pub(super) fn update_listing(&mut self, boxes: &[Listing]) {
         let own = &self.context.settings.name;
         let listed = boxes.iter().any(|listing| listing.name == *own);
-        let first = !std::mem::replace(&mut self.knows_boxes, true);
+        let first = !std::mem::replace(&mut self.boxes_received, true);
         let now = self.context.now();
-        self.listed = match (listed, self.listed) {
+        self.listing_settled = match (listed, self.listing_settled) {
             (false, _) => None,
             (true, Some(since)) => Some(since),
             // It stood there before this process started.
             (true, None) if first && !self.context.settings.first_start => Some(Duration::ZERO),
-            (true, None) => Some(now + LISTED_REST),
+            (true, None) => Some(now + LISTING_DELAY),
         };
-        if let Some(until) = self.listed.filter(|until| *until > now) {
+        if let Some(until) = self.listing_settled.filter(|until| *until > now) {
             let decisions = self.context.decisions.clone();
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(until - now).await;
-                let _ = decisions.send(Message::Listed);
+                let _ = decisions.send(Message::ListingSettled);
             });
         }
     }
 
     /// Whether every other box may be taken to know this one.
-    pub(super) fn is_listed(&self) -> bool {
+    pub(super) fn is_listing_settled(&self) -> bool {
         let now = self.context.now();
-        self.listed.is_some_and(|since| now >= since)
+        self.listing_settled.is_some_and(|since| now >= since)
     }
 
-    pub(super) fn tell_listed(&mut self) {
-        let listed = self.is_listed();
+    pub(super) fn report_listing(&mut self) {
+        let listed = self.is_listing_settled();
         let groups: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for group in groups {
-            self.handle(&group, Event::BoxListed { listed });
+            self.handle_event(&group, Event::BoxListed { listed });
         }
     }
 
     /// Takes another bound for members that leave.
-    pub(super) fn set_leave_most(&mut self, most: Duration) {
-        self.settings.drain_limit = most;
+    pub(super) fn set_drain_limit(&mut self, limit: Duration) {
+        self.settings.drain_limit = limit;
         let groups: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for id in groups {
             if let Some(owned) = self.groups.get_mut(&id) {
-                owned.group.set_drain_limit(most);
+                owned.group.set_drain_limit(limit);
             }
             // A shorter bound may be over by now.
-            self.handle(&id, Event::Tick);
+            self.handle_event(&id, Event::Tick);
         }
     }
 
     /// Tells groups whose duty another box has taken.
-    pub(super) fn tell_duties(&mut self, before: &Snapshot) {
+    pub(super) fn report_taken_duties(&mut self, before: &Snapshot) {
         if before.revision == Revision::NONE {
             // What was taken before this box started is over.
             return;
@@ -196,18 +198,18 @@
         let taken = duties.filter(|(group, duty)| foreign(group, duty));
         let taken: Vec<Arc<str>> = taken.map(|(group, _)| group.clone()).collect();
         for group in taken {
-            self.handle(&group, Event::DutyTakenElsewhere);
+            self.handle_event(&group, Event::DutyTakenElsewhere);
         }
     }
 
-    pub(super) fn tell_primaries(&mut self) {
+    pub(super) fn announce_primaries(&mut self) {
         let primaries = self.snapshot.primaries.clone();
         for (id, record) in primaries.iter() {
             let event = Event::PrimaryAnnounced {
                 term: record.term,
                 primary: record.member.clone(),
             };
-            self.handle(id, event);
+            self.handle_event(id, event);
         }
     }
 }
--- a/src/node/driver/reaching.rs
+++ b/src/node/driver/partition.rs
@@ -10,14 +10,14 @@
 use crate::node::peers;
 
 /// Groups that are asked about: a cut shows in all of them.
-const GROUPS_ASKED: usize = 6;
+const QUERIED_GROUPS: usize = 6;
 /// Owners of a group that are asked, the nearest first.
-const OWNERS_ASKED: usize = 2;
+const QUERIED_OWNERS: usize = 2;
 
 impl Driver {
     /// Notes whether the box is cut off, and asks others where its own groups do not
     /// tell.
-    pub(super) fn note_cut_off(&mut self) {
+    pub(super) fn check_partition(&mut self) {
         if *self.context.leaving.borrow() {
             return;
         }
@@ -25,7 +25,7 @@
         let mut view = Counts {
             groups: self.snapshot.groups.len(),
             owned: self.groups.len(),
-            list_settled: self.is_listed(),
+            list_settled: self.is_listing_settled(),
             ..Counts::default()
         };
         for owned in self.groups.values() {
@@ -41,17 +41,21 @@
                 .settled
                 .send_if_modified(|settled| !std::mem::replace(settled, true));
         }
-        self.reach.update_counts(view, now);
-        if self.reach.query_due(now).is_some_and(|due| due <= now) {
-            self.reach.record_query(now);
-            self.ask_reach();
+        self.partition_monitor.update_counts(view, now);
+        if self
+            .partition_monitor
+            .query_due(now)
+            .is_some_and(|due| due <= now)
+        {
+            self.partition_monitor.record_query(now);
+            self.query_owners();
         }
-        self.tell_away(now);
+        self.update_away(now);
     }
 
     /// Says whether callers are better served elsewhere.
-    fn tell_away(&self, now: Duration) {
-        let cut_off = self.reach.is_partitioned();
+    fn update_away(&self, now: Duration) {
+        let cut_off = self.partition_monitor.is_partitioned();
         let changed = self.context.away.send_if_modified(|away| {
             let changed = away.is_some() != cut_off;
             if changed {
@@ -67,11 +71,11 @@
             events::emit(&self.context.log, kind, &[]);
         }
         if changed && cut_off {
-            self.warn_neighbours();
+            self.send_alerts();
         }
     }
 
-    fn warn_neighbours(&self) {
+    fn send_alerts(&self) {
         let settings = &self.context.settings;
         if !settings.domain_loss {
             return;
@@ -86,27 +90,27 @@
     }
 
     /// Takes a neighbour's word that other failure domains are silent.
-    pub(super) fn take_warning(&mut self, from: &str) {
-        if self.reach.is_partitioned() {
+    pub(super) fn handle_alert(&mut self, from: &str) {
+        if self.partition_monitor.is_partitioned() {
             return;
         }
-        if self.reach.record_alert(self.context.now()) {
+        if self.partition_monitor.record_alert(self.context.now()) {
             events::emit(&self.context.log, &events::CUT_WARNING, &[("from", &from)]);
-            self.warn_neighbours();
+            self.send_alerts();
         }
-        self.hurry();
+        self.probe_other_domains();
     }
 
     /// Looks at the members of other failure domains before their turn.
-    fn hurry(&mut self) {
+    fn probe_other_domains(&mut self) {
         let groups: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for group in groups {
-            self.handle(&group, Event::ProbeOtherDomains);
+            self.handle_event(&group, Event::ProbeOtherDomains);
         }
     }
 
     /// Notes what an event of a group tells of the way to another failure domain.
-    pub(super) fn note_sight(&mut self, group: &Arc<str>, event: &Event) {
+    pub(super) fn record_contact(&mut self, group: &Arc<str>, event: &Event) {
         let (member, answered) = match event {
             Event::Answered { member, .. }
             | Event::Probed {
@@ -128,19 +132,19 @@
         }
         let now = self.context.now();
         if answered {
-            return self.reach.record_answer(domain, now);
+            return self.partition_monitor.record_answer(domain, now);
         }
-        if self.reach.record_failure(&domain.clone(), now) {
-            self.warn_neighbours();
-            self.hurry();
+        if self.partition_monitor.record_failure(&domain.clone(), now) {
+            self.send_alerts();
+            self.probe_other_domains();
         }
     }
 
-    fn ask_reach(&self) {
+    fn query_owners(&self) {
         let others = self.snapshot.groups.keys();
         let others = others.filter(|id| !self.groups.contains_key(*id));
         let others: Vec<&Arc<str>> = others.collect();
-        let asked = others.choose_multiple(&mut rand::rng(), GROUPS_ASKED);
+        let asked = others.choose_multiple(&mut rand::rng(), QUERIED_GROUPS);
         let asked = asked.map(|id| {
             let owners = self.nearest_owners(id);
             reaches(self.context.clone(), Arc::clone(id), owners)
@@ -148,8 +152,8 @@
         let asked: Vec<_> = asked.collect();
         let decisions = self.context.decisions.clone();
         tokio::task::spawn_local(async move {
-            let words = futures::future::join_all(asked).await;
-            let _ = decisions.send(Message::Reached(words));
+            let replies = futures::future::join_all(asked).await;
+            let _ = decisions.send(Message::MajorityReplies(replies));
         });
     }
 
@@ -158,7 +162,7 @@
         let routes = &self.context.routes;
         let owners = routes.owners(id, &self.snapshot, &boxes, &self.context.settings);
         let addresses = owners.iter().map(|owner| owner.address.clone());
-        addresses.take(OWNERS_ASKED).collect()
+        addresses.take(QUERIED_OWNERS).collect()
     }
 }
 
@@ -167,6 +171,6 @@
 async fn reaches(context: Rc<Context>, group: Arc<str>, owners: Vec<Arc<str>>) -> Option<bool> {
     let asked = owners.iter();
     let asked = asked.map(|owner| peers::reaches(&context, owner, &group));
-    let words = futures::future::join_all(asked).await;
-    words.into_iter().flatten().next()
+    let replies = futures::future::join_all(asked).await;
+    replies.into_iter().flatten().next()
 }
--- a/src/node/duty.rs
+++ b/src/node/duty.rs
@@ -1,4 +1,4 @@
-//! Takes the duty of promoting before a promotion is ordered.
+//! Claims the duty in the table before a promotion is ordered.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 use crate::decisions::duty::{Ballot, Claim, Duty, next_duty};
 use crate::events;
 
-/// Rows of duties, by group.
+/// Key prefix of the duties' rows, followed by the group.
 pub const DUTY_PREFIX: &str = "duty/";
-/// Time for the table's answer: it takes 20 ms on a calm day. Longer, and the box
-/// goes on without it, since members are fenced and callers wait.
-const TABLE_WAIT: Duration = Duration::from_millis(400);
+/// Timeout of the commit. The promotion then goes on without the table, since members are
+/// fenced and callers wait.
+const TABLE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Takes the duty for `group` before `ballot`. None when another box has just taken
-/// it, or when the table gives no answer and the other boxes may not know of this one
-/// (`listed`): they would not ask it before they promote.
+/// Claims the duty for `group` before `ballot`. Returns `None` if another box has just claimed
+/// it. Without an answer of the table, the claim succeeds only if the other boxes know this box
+/// (`listed`), as they would otherwise promote without asking it to give up its lease.
 pub async fn claim(
     context: &Context,
     group: &Arc<str>,
@@ -25,19 +25,19 @@
 ) -> Option<Claim> {
     let known = context.snapshot.borrow().duties.get(group).cloned();
     let mut duty = next_duty(known.as_ref(), &context.settings.name, ballot);
-    // Also who holds the duty writes it again, so that of two only one goes on.
-    let change = commit(group, &duty);
-    let committed = tokio::time::timeout(TABLE_WAIT, context.table.commit(&change)).await;
-    let alone = match committed {
+    // The current holder writes the duty again too, so that only one of two claims succeeds.
+    let change = build_commit(group, &duty);
+    let committed = tokio::time::timeout(TABLE_TIMEOUT, context.table.commit(&change)).await;
+    let no_answer = match committed {
         Ok(Ok(Verdict::Done(revision))) => {
             duty.revision = revision;
             false
         }
         Ok(Ok(Verdict::Conflict { .. })) => return None,
-        Ok(Err(error)) => note(context, group, &duty, &error),
-        Err(late) => note(context, group, &duty, &late),
+        Ok(Err(error)) => log_unconfirmed(context, group, &duty, &error),
+        Err(elapsed) => log_unconfirmed(context, group, &duty, &elapsed),
     };
-    if alone && !listed {
+    if no_answer && !listed {
         return None;
     }
     let fields: [(_, &dyn std::fmt::Display); 2] =
@@ -45,20 +45,20 @@
     events::emit(&context.log, &events::DUTY_TAKEN, &fields);
     Some(Claim {
         duty,
-        unconfirmed: alone,
+        unconfirmed: no_answer,
     })
 }
 
-/// Whether an order under `claim` may still go out, as far as the table is known.
-pub fn stands(context: &Context, group: &Arc<str>, claim: &Claim) -> bool {
+/// Whether an order under `claim` may still be sent, as far as this box knows the table.
+pub fn is_current(context: &Context, group: &Arc<str>, claim: &Claim) -> bool {
     let snapshot = context.snapshot.borrow();
     claim.is_current(snapshot.duties.get(group))
 }
 
-fn commit(group: &Arc<str>, duty: &Duty) -> Commit {
+fn build_commit(group: &Arc<str>, duty: &Duty) -> Commit {
     let expected = duty.revision;
     Commit {
-        // The table answers a repeated commit from memory, so each claim has its own.
+        // The table answers a repeated nonce with the earlier outcome, so each claim has its own.
         nonce: format!("{DUTY_PREFIX}{group}/{}/{expected}", duty.generation),
         writes: vec![Write {
             key: format!("{DUTY_PREFIX}{group}").into(),
@@ -68,8 +68,13 @@
     }
 }
 
-/// Notes that the box goes on without the table.
-fn note(context: &Context, group: &Arc<str>, duty: &Duty, error: &dyn std::fmt::Display) -> bool {
+/// Logs that the claim is unconfirmed; always returns true.
+fn log_unconfirmed(
+    context: &Context,
+    group: &Arc<str>,
+    duty: &Duty,
+    error: &dyn std::fmt::Display,
+) -> bool {
     let fields: [(_, &dyn std::fmt::Display); 3] = [
         ("group", group),
         ("generation", &duty.generation),
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -1,4 +1,4 @@
-//! Border to the callers: a codec takes their connections and serves them.
+//! Border to the callers.
 
 use std::rc::Rc;
 
@@ -8,10 +8,10 @@
 use super::context::Context;
 use super::owner::Owner;
 
-/// Takes callers of one protocol.
+/// Accepts and serves the callers of one protocol.
 #[async_trait(?Send)]
 pub trait Entry {
-    /// Serves until the listener fails or the box has left.
+    /// Serves callers until the listener fails or the box has left.
     async fn serve(
         &self,
         context: Rc<Context>,
--- a/src/node/message.rs
+++ b/src/node/message.rs
@@ -1,4 +1,4 @@
-//! What is said to the loop that owns the decisions.
+//! Messages to the loop that owns a box's decisions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,36 +15,36 @@
 use crate::declarations::resource::Member;
 use crate::declarations::snapshot::Snapshot;
 
-/// What a group's members look like to those who have statements running on them.
+/// State of a group's members, watched by the statements that run on them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Health {
     pub term: u64,
     pub suspected: Vec<bool>,
 }
 
-/// Names one start of a group at an owner: whoever gives something back to an
-/// earlier one must not give it to a later.
+/// Number of one start of a group at this owner. A slot or an event of an earlier start is not
+/// applied to a later one.
 pub type Incarnation = u64;
 
-/// Leave to run a statement on a member.
+/// Permission to run a statement on a member.
 #[derive(Debug)]
 pub struct Grant {
     pub incarnation: Incarnation,
     pub member: usize,
     pub spec: Member,
     pub term: u64,
-    /// The member leads the term.
+    /// Whether the member is the primary of `term`.
     pub primary: bool,
-    /// The session's floor was possible.
+    /// False if the session's floor lies beyond the primary's position.
     pub believed: bool,
-    /// Time after which a read is better repeated elsewhere.
-    pub patience: Duration,
-    /// A transaction gives its turn back while it rests.
-    pub rests: bool,
+    /// Time after which a read is repeated on another member.
+    pub read_timeout: Duration,
+    /// Whether a transaction frees its slot while it is idle.
+    pub idle_frees_slot: bool,
     pub health: watch::Receiver<Health>,
 }
 
-/// Why there is no grant.
+/// Why no slot was granted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Denial {
     NotRun(Refusal),
@@ -52,35 +52,39 @@
     NotOwner,
 }
 
-/// A request for a member, with the way back.
+/// A request for a slot at a member.
 #[derive(Debug)]
-pub struct Ask {
-    /// Given by the asker, so that it can take the question back.
+pub struct SlotRequest {
+    /// Chosen by the sender, which may withdraw the request by this id.
     pub id: u64,
     pub group: Arc<str>,
     pub target: Target,
     pub floor: Option<Position>,
     pub deadline: Duration,
+    /// Latency target, from the arrival.
     pub aim: Option<Duration>,
+    /// Flow that the request is queued in; `None` for the flow of the group's partner.
     pub flow: Option<Flow>,
     pub reply: oneshot::Sender<Result<Grant, Denial>>,
 }
 
-/// A wait for confirmation, with the way back.
+/// A request to confirm an answer before it is passed on.
 #[derive(Debug)]
-pub struct Settle {
+pub struct ConfirmRequest {
     pub group: Arc<str>,
     pub incarnation: Incarnation,
     pub member: usize,
-    pub need: Unconfirmed,
+    pub unconfirmed: Unconfirmed,
     pub deadline: Duration,
     pub reply: oneshot::Sender<Outcome>,
 }
 
+/// What was answered and awaits confirmation.
 #[derive(Clone, Copy, Debug)]
 pub enum Unconfirmed {
+    /// A write at this position of the log.
     Write(Position),
-    /// A read from the primary, which arrived at `since` or may be as old as that.
+    /// A read from the primary of `term`, whose data may be as old as `since`.
     Read {
         term: u64,
         since: Duration,
@@ -88,13 +92,13 @@
     },
 }
 
-/// What a dump shows of a box besides its configuration.
+/// State of a box that a dump shows besides the configuration.
 #[derive(Debug, Default, Serialize)]
 pub struct Dump {
     pub callers: usize,
-    /// Connections to members that nobody uses.
     pub idle_connections: usize,
-    /// The table is not read: others of the failure domain tell what is new.
+    /// Whether this box doesn't read the table, because another box of the failure domain
+    /// passes the changes on.
     pub resting: bool,
     pub groups: Vec<GroupDump>,
 }
@@ -102,56 +106,61 @@
 /// A message to the loop.
 #[derive(Debug)]
 pub enum Message {
-    Ask(Ask),
-    /// Whoever asked does not wait for the answer any more.
+    RequestSlot(SlotRequest),
+    /// The sender of a slot request no longer waits for the answer.
     Withdraw {
         group: Arc<str>,
         id: u64,
     },
-    Settle(Settle),
-    Group {
+    Confirm(ConfirmRequest),
+    /// An event for one incarnation of a group.
+    GroupEvent {
         group: Arc<str>,
         incarnation: Incarnation,
         event: Event,
     },
-    /// The duty as this box has taken it, none when another box has.
-    Claimed {
+    /// Outcome of this box's claim to the duty; `None` if it failed.
+    DutyClaimed {
         group: Arc<str>,
         claim: Option<Claim>,
     },
+    /// A new configuration is in force.
     Snapshot(Arc<Snapshot>),
+    /// The list of boxes changed.
     Boxes(Arc<[Listing]>),
-    /// Another box has fenced a majority of the group. The reply says whether it need
-    /// not wait for this one any more.
+    /// Another box has fenced a majority of the group. The reply is true once that box needn't
+    /// wait for this box's lease to expire.
     RevokeLease {
         group: Arc<str>,
         reply: oneshot::Sender<bool>,
     },
-    /// Leaving members are served for this long from now on.
-    LeaveMost(Duration),
-    /// Enough time has passed since this box was listed.
-    Listed,
-    /// An exchange failed as in a cut: its owner reached no majority, or was not reached.
+    /// The time for which a leaving member is still used has changed.
+    DrainLimit(Duration),
+    /// All boxes are expected to have read the list that contains this box.
+    ListingSettled,
+    /// An exchange failed because its owner reached no majority or was not reached, which may
+    /// indicate a partition.
     ExchangeRefused,
-    /// A box of the same failure domain finds the others silent.
+    /// A box of the same failure domain gets no answer from the other domains.
     AlertReceived {
         from: Arc<str>,
     },
-    /// Owners of other groups have said whether they reach a majority, as far as they
-    /// can tell.
-    Reached(Vec<Option<bool>>),
-    /// Whether this box, as an owner, reaches a majority of the group.
+    /// Replies of other groups' owners on whether they reach a majority; `None` if undetermined.
+    MajorityReplies(Vec<Option<bool>>),
+    /// Asks whether this box, as an owner, reaches a majority of the group.
     QueryMajority {
         group: Arc<str>,
         reply: oneshot::Sender<Option<bool>>,
     },
+    /// Asks whether this box, as an owner, suspects the primary of the term.
     QueryOpinion {
         group: Arc<str>,
         term: u64,
         reply: oneshot::Sender<Option<bool>>,
     },
+    /// Asks for the box's state.
     Dump(oneshot::Sender<Dump>),
 }
 
-/// The way to the loop.
+/// Sends messages to the loop.
 pub type Sender = mpsc::UnboundedSender<Message>;
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -1,4 +1,4 @@
-//! Serves exchanges on the members of the groups this box owns.
+//! Serves exchanges on the members of the groups that this box owns.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -10,7 +10,9 @@
 
 use super::context::Context;
 use super::exchange::{Effect, Exchange, Failure, Reply, Server, Status};
-use super::message::{Ask, Denial, Grant, Incarnation, Message, Settle, Unconfirmed};
+use super::message::{
+    ConfirmRequest, Denial, Grant, Incarnation, Message, SlotRequest, Unconfirmed,
+};
 use super::once;
 use super::pool::{Pool, Pooled};
 use super::slot::{Lease, Slot};
@@ -21,39 +23,39 @@
 use crate::decisions::position::Position;
 use crate::events;
 
-/// Time before a statement that did not run is placed again.
-const PAUSE: Duration = Duration::from_millis(10);
-/// A statement on a suspected member is given up after this time.
-const SUSPECT_PATIENCE: Duration = Duration::from_millis(1_500);
-/// A read without an answer is not repeated elsewhere before this part of its limit.
-const READ_TRIES: u32 = 3;
-/// Time for a rollback that nobody waits for; then the connection is closed.
-const ROLL_BACK_WAIT: Duration = Duration::from_secs(1);
-/// What a caller is told to wait when no majority can be seen.
-const CUT_OFF_RETRY: Duration = Duration::from_secs(1);
-/// What a caller is told to wait when no better time is known.
-const LEAST_RETRY: Duration = Duration::from_millis(100);
-
-/// The owner half of a box.
+/// Delay before a statement that did not run is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Time after which a statement on a suspected member is abandoned.
+const SUSPECTED_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Number of attempts at a read that its time limit must allow.
+const MAX_READ_ATTEMPTS: u32 = 3;
+/// Timeout of the rollback of an abandoned transaction, after which its connection is closed.
+const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after which a caller may try again if this box reaches no majority.
+const CUT_OFF_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Least time after which a caller may try again once the retries are exhausted.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+
+/// The part of a box that serves exchanges as an owner, for its own and other boxes' callers.
 pub struct Owner {
     pub context: Rc<Context>,
     pub pool: Rc<Pool>,
     leases: RefCell<HashMap<u64, Lease>>,
-    next: Cell<u64>,
-    /// Exchanges of other boxes under way.
-    serving: Cell<usize>,
+    next_id: Cell<u64>,
+    /// Number of other boxes' exchanges in progress.
+    peer_exchanges: Cell<usize>,
     budget: RefCell<Budget>,
 }
 
-/// Takes a question back when whoever asked it goes away before the answer.
-struct Waiting<'a> {
+/// Withdraws a slot request if its future is dropped before the answer.
+struct PendingRequest<'a> {
     context: &'a Context,
     group: &'a Arc<str>,
     id: u64,
     answered: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         if self.answered {
             return;
@@ -73,73 +75,75 @@
             context,
             pool,
             leases: RefCell::default(),
-            next: Cell::new(1),
-            serving: Cell::new(0),
+            next_id: Cell::new(1),
+            peer_exchanges: Cell::new(0),
             budget: RefCell::new(budget),
         }
     }
 
-    fn next(&self) -> u64 {
-        let id = self.next.get();
-        self.next.set(id + 1);
+    fn take_id(&self) -> u64 {
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
         id
     }
 
     /// Serves one exchange.
     pub async fn serve(&self, exchange: &Exchange) -> Result<Reply, Failure> {
         if let Some(id) = exchange.lease {
-            return self.go_on(id, exchange).await;
+            return self.serve_held(id, exchange).await;
         }
         let deadline = self.context.now() + exchange.patience;
         match &exchange.once {
             Some(key) => once::serve(self, exchange, key, deadline).await,
-            None => self.fresh(exchange, deadline).await,
+            None => self.serve_new(exchange, deadline).await,
         }
     }
 
-    /// Serves an exchange of another box. A leaving box takes none that begins
-    /// something: the other box goes to the next owner.
+    /// Serves an exchange of another box. A leaving box only continues open transactions, so
+    /// that the other box tries the next owner.
     pub async fn serve_peer(&self, exchange: &Exchange) -> Result<Reply, Failure> {
         if exchange.lease.is_none() && *self.context.leaving.borrow() {
             return Err(Failure::NotOwner);
         }
-        self.serving.set(self.serving.get() + 1);
+        self.peer_exchanges.set(self.peer_exchanges.get() + 1);
         let served = self.serve(exchange).await;
-        self.serving.set(self.serving.get() - 1);
+        self.peer_exchanges.set(self.peer_exchanges.get() - 1);
         served
     }
 
-    /// Whether nothing is under way or held for other boxes.
+    /// Whether no exchange of another box is in progress and no connection is held.
     pub fn is_idle(&self) -> bool {
-        self.serving.get() == 0 && self.leases.borrow().is_empty()
+        self.peer_exchanges.get() == 0 && self.leases.borrow().is_empty()
     }
 
-    async fn fresh(&self, exchange: &Exchange, deadline: Duration) -> Result<Reply, Failure> {
+    /// Runs an exchange on a member of its group, and again if it did not run or if it is a read
+    /// without an answer.
+    async fn serve_new(&self, exchange: &Exchange, deadline: Duration) -> Result<Reply, Failure> {
         let arrived = self.context.now();
         loop {
-            let place = self
+            let slot = self
                 .acquire_slot(exchange, exchange.target, deadline)
                 .await?;
-            let connection = match self.connect(&place, exchange).await {
+            let connection = match self.connect(&slot, exchange).await {
                 Ok(connection) => connection,
                 Err(retry_after) => {
-                    drop(place);
-                    self.again(deadline, retry_after).await?;
+                    drop(slot);
+                    self.await_retry(deadline, retry_after).await?;
                     continue;
                 }
             };
             let mut lease = Lease {
                 connection,
-                place,
+                slot,
                 target: exchange.target,
                 wrote: false,
-                touched: arrived,
+                last_used: arrived,
             };
             match self.run(&mut lease, exchange).await {
-                Ok(answer) => match unrun(&answer, exchange) {
+                Ok(answer) => match rejection(&answer, exchange) {
                     Some(why) => {
-                        self.take_back(lease, why);
-                        self.again(deadline, PAUSE).await?;
+                        self.return_rejected(lease, why);
+                        self.await_retry(deadline, RETRY_DELAY).await?;
                     }
                     None => {
                         return self
@@ -148,11 +152,11 @@
                     }
                 },
                 Err(_) if exchange.effect == Effect::Writes => {
-                    return Err(self.unknown(exchange));
+                    return Err(self.unknown_outcome(exchange));
                 }
                 Err(_) => {
                     drop(lease);
-                    if self.again(deadline, PAUSE).await.is_err() {
+                    if self.await_retry(deadline, RETRY_DELAY).await.is_err() {
                         return Err(Failure::ReadLost);
                     }
                 }
@@ -160,18 +164,22 @@
         }
     }
 
-    /// Gives back a connection whose statement did not run, and says why.
-    fn take_back(&self, lease: Lease, why: Rejection) {
-        let member = lease.place.grant.member;
+    /// Returns the connection of a statement that did not run, and reports the reason.
+    fn return_rejected(&self, lease: Lease, why: Rejection) {
+        let member = lease.slot.grant.member;
         match why {
-            Rejection::Lagging => lease.place.tell(Event::ReplicaBehind { member }),
-            Rejection::Busy => lease.place.tell(Event::ConnectionLimitReached { member }),
-            Rejection::NotPrimary | Rejection::NotPrepared => lease.place.tell(Event::ProbeAll),
+            Rejection::Lagging => lease.slot.send_event(Event::ReplicaBehind { member }),
+            Rejection::Busy => lease
+                .slot
+                .send_event(Event::ConnectionLimitReached { member }),
+            Rejection::NotPrimary | Rejection::NotPrepared => {
+                lease.slot.send_event(Event::ProbeAll)
+            }
         }
-        self.pool.put(&lease.place.grant.spec, lease.connection);
+        self.pool.put(&lease.slot.grant.spec, lease.connection);
     }
 
-    /// Asks the loop for a place at a member.
+    /// Waits for a slot at a member that suits `target`.
     pub async fn acquire_slot(
         &self,
         exchange: &Exchange,
@@ -180,8 +188,8 @@
     ) -> Result<Slot, Failure> {
         let group = &exchange.group;
         let (reply, answer) = oneshot::channel();
-        let id = self.next();
-        let ask = Ask {
+        let id = self.take_id();
+        let request = SlotRequest {
             id,
             group: group.clone(),
             target,
@@ -191,8 +199,8 @@
             flow: exchange.flow.clone(),
             reply,
         };
-        let _ = self.context.decisions.send(Message::Ask(ask));
-        let mut waiting = Waiting {
+        let _ = self.context.decisions.send(Message::RequestSlot(request));
+        let mut pending = PendingRequest {
             context: &self.context,
             group,
             id,
@@ -200,7 +208,7 @@
         };
         let asked = self.context.now();
         let granted = answer.await;
-        waiting.answered = true;
+        pending.answered = true;
         let waited = (self.context.now() - asked).as_secs_f64() * 1_000.0;
         self.context.metrics.queue_ms.record(waited, &[]);
         let grant = granted.map_err(|_| Failure::NotOwner)?;
@@ -212,39 +220,39 @@
             context: self.context.clone(),
             group: group.clone(),
             grant,
-            began: self.context.now(),
-            turn: self.context.now(),
-            resting: false,
+            granted_at: self.context.now(),
+            occupied_since: self.context.now(),
+            idle: false,
         })
     }
 
-    /// A connection for a place; an error says when to try again.
-    pub async fn connect(&self, place: &Slot, exchange: &Exchange) -> Result<Pooled, Duration> {
+    /// Returns a connection for a slot, or the delay after which to try again.
+    pub async fn connect(&self, slot: &Slot, exchange: &Exchange) -> Result<Pooled, Duration> {
         let workspace = exchange.workspace.as_ref();
-        let taken = self.pool.take(&place.grant.spec, workspace).await;
+        let taken = self.pool.take(&slot.grant.spec, workspace).await;
         taken.map_err(|error| {
-            let member = place.grant.member;
+            let member = slot.grant.member;
             match error {
-                ConnectError::Lost(_) => place.tell(Event::ConnectionLost { member }),
-                ConnectError::TimedOut => place.tell(Event::ConnectTimedOut { member }),
-                ConnectError::WrongMember(_) => place.tell(Event::ProbeAll),
-                ConnectError::Full(_) => place.tell(Event::ConnectionLimitReached { member }),
+                ConnectError::Lost(_) => slot.send_event(Event::ConnectionLost { member }),
+                ConnectError::TimedOut => slot.send_event(Event::ConnectTimedOut { member }),
+                ConnectError::WrongMember(_) => slot.send_event(Event::ProbeAll),
+                ConnectError::Full(_) => slot.send_event(Event::ConnectionLimitReached { member }),
             }
             let fields: [(_, &dyn std::fmt::Display); 3] = [
-                ("group", &place.group),
-                ("member", &place.grant.spec.name),
+                ("group", &slot.group),
+                ("member", &slot.grant.spec.name),
                 ("error", &error),
             ];
             events::emit(&self.context.log, &events::NO_CONNECTION, &fields);
-            PAUSE
+            RETRY_DELAY
         })
     }
 
-    /// Waits for another try, if the budget and the deadline allow one.
-    async fn again(&self, deadline: Duration, pause: Duration) -> Result<(), Failure> {
+    /// Waits until the next attempt, if the retry budget and the deadline allow one.
+    async fn await_retry(&self, deadline: Duration, pause: Duration) -> Result<(), Failure> {
         let late = self.context.now() + pause > deadline;
         if late || !self.budget.borrow_mut().spend() {
-            let wait = pause.max(LEAST_RETRY);
+            let wait = pause.max(MIN_RETRY_AFTER);
             return Err(Failure::NotRun(Refusal::new(Reason::Retries, wait)));
         }
         self.context.metrics.retries.add(1, &[]);
@@ -252,7 +260,8 @@
         Ok(())
     }
 
-    fn unknown(&self, exchange: &Exchange) -> Failure {
+    /// Counts and logs an unknown outcome.
+    fn unknown_outcome(&self, exchange: &Exchange) -> Failure {
         self.context.metrics.unknown.add(1, &[]);
         events::emit(
             &self.context.log,
@@ -262,22 +271,23 @@
         Failure::Unknown
     }
 
-    /// Runs an exchange on a held connection until its answer, the member's end, or
-    /// the end of the time it has.
+    /// Runs an exchange on a connection until the answer arrives, the member is replaced or
+    /// silent, or the time limit is over.
     async fn run(&self, lease: &mut Lease, exchange: &Exchange) -> Result<Answer, ()> {
         let Lease {
             connection,
-            place,
+            slot,
             target,
             ..
         } = lease;
         let began = self.context.now();
-        let floor = exchange.floor.filter(|_| !place.grant.primary);
+        let floor = exchange.floor.filter(|_| !slot.grant.primary);
         let task = exchange.task(floor.filter(|_| matches!(target, Target::Replica { .. })));
         let limit = exchange.limit.map(|limit| match exchange.effect {
-            Effect::Reads if exchange.lease.is_none() => {
-                place.grant.patience.clamp(limit / READ_TRIES, limit)
-            }
+            Effect::Reads if exchange.lease.is_none() => slot
+                .grant
+                .read_timeout
+                .clamp(limit / MAX_READ_ATTEMPTS, limit),
             _ => limit,
         });
         let late = async {
@@ -288,18 +298,18 @@
         };
         let ended = tokio::select! {
             answer = connection.run(&task) => answer,
-            () = given_up(&mut place.grant) => {
+            () = member_failed(&mut slot.grant) => {
                 Err(UpstreamError::InvalidAnswer("replaced or silent".to_owned()))
             }
             () = late => Err(UpstreamError::TimedOut),
         };
         match ended {
             Ok(answer) => {
-                place.tell(Event::Answered {
-                    member: place.grant.member,
+                slot.send_event(Event::Answered {
+                    member: slot.grant.member,
                     began,
                     position: answer.position,
-                    proves_primary: place.grant.primary
+                    proves_primary: slot.grant.primary
                         && answer.verdict == Verdict::Done
                         && exchange.proves_lead(),
                 });
@@ -309,31 +319,40 @@
                 Ok(answer)
             }
             Err(error) => {
-                self.note_lost(place, exchange, began, &error);
+                self.report_lost(slot, exchange, began, &error);
                 Err(())
             }
         }
     }
 
-    fn note_lost(&self, place: &Slot, exchange: &Exchange, began: Duration, error: &UpstreamError) {
-        let member = place.grant.member;
+    /// Reports and logs that a statement was not answered.
+    fn report_lost(
+        &self,
+        slot: &Slot,
+        exchange: &Exchange,
+        began: Duration,
+        error: &UpstreamError,
+    ) {
+        let member = slot.grant.member;
         let after = self.context.now() - began;
         match error {
-            UpstreamError::Lost(_) => place.tell(Event::ConnectionLost { member }),
-            UpstreamError::TimedOut => place.tell(Event::AnswerTimedOut { member, after }),
+            UpstreamError::Lost(_) => slot.send_event(Event::ConnectionLost { member }),
+            UpstreamError::TimedOut => slot.send_event(Event::AnswerTimedOut { member, after }),
             UpstreamError::InvalidAnswer(_) => {}
         }
         let after = after.as_millis();
         let fields: [(_, &dyn std::fmt::Display); 5] = [
             ("request", &exchange.trace),
             ("group", &exchange.group),
-            ("member", &place.grant.spec.name),
+            ("member", &slot.grant.spec.name),
             ("after_ms", &after),
             ("error", error),
         ];
         events::emit(&self.context.log, &events::STATEMENT_LOST, &fields);
     }
 
+    /// Confirms an answer where that is needed and releases the connection, unless its
+    /// transaction is still open.
     async fn finish(
         &self,
         mut lease: Lease,
@@ -344,38 +363,38 @@
     ) -> Result<Reply, Failure> {
         lease.wrote |= exchange.effect == Effect::Writes;
         if answer.status != Some(Status::Idle) {
-            return self.keep(lease, answer, exchange, since, deadline).await;
+            return self.hold(lease, answer, exchange, since, deadline).await;
         }
         let Lease {
             connection,
-            place,
+            slot,
             wrote,
             target,
             ..
         } = lease;
-        let grant = &place.grant;
+        let grant = &slot.grant;
         let member = grant.member;
         let incarnation = grant.incarnation;
         let believed = grant.believed;
-        let server = server(grant);
+        let server = server_role(grant);
         let position = connection.position();
-        // A commit that failed or that wrote nothing promises nothing.
-        let need = match answer.position {
+        // A commit that failed or changed nothing has no position, and no write to confirm.
+        let unconfirmed = match answer.position {
             Some(position) if wrote && grant.primary => Some(Unconfirmed::Write(position)),
-            _ => read_need(&place, target, since, position),
+            _ => unconfirmed_read(&slot, target, since, position),
         };
-        self.pool.put(&place.grant.spec, connection);
-        drop(place);
-        if let Some(need) = need {
-            let settled = self.confirm(&exchange.group, incarnation, member, need, deadline);
-            let outcome = settled.await;
-            self.after_settling(outcome, need, exchange)?;
+        self.pool.put(&slot.grant.spec, connection);
+        drop(slot);
+        if let Some(unconfirmed) = unconfirmed {
+            let confirmation =
+                self.confirm(&exchange.group, incarnation, member, unconfirmed, deadline);
+            let outcome = confirmation.await;
+            self.check_outcome(outcome, unconfirmed, exchange)?;
         }
         Ok(Reply {
             messages: answer.messages,
             status: Some(Status::Idle),
-            // A member reports its position when it changed: unreported, it is
-            // the one that the connection knew.
+            // A member reports its position only on a change, and the connection remembers it.
             position,
             lease: None,
             server,
@@ -384,42 +403,43 @@
         })
     }
 
-    fn after_settling(
+    fn check_outcome(
         &self,
         outcome: Outcome,
-        need: Unconfirmed,
+        unconfirmed: Unconfirmed,
         exchange: &Exchange,
     ) -> Result<(), Failure> {
-        match (outcome, need) {
+        match (outcome, unconfirmed) {
             (Outcome::Confirmed, _) => Ok(()),
-            (Outcome::Unknown, Unconfirmed::Write(_)) => Err(self.unknown(exchange)),
+            (Outcome::Unknown, Unconfirmed::Write(_)) => Err(self.unknown_outcome(exchange)),
             (Outcome::Unknown, Unconfirmed::Read { .. }) => Err(Failure::NotRun(Refusal {
                 via: Via::Owner,
-                ..Refusal::new(Reason::CutOff, CUT_OFF_RETRY)
+                ..Refusal::new(Reason::CutOff, CUT_OFF_RETRY_AFTER)
             })),
         }
     }
 
-    /// Waits until a majority is seen to hold or know what `need` says.
+    /// Waits until a majority is seen to hold a write, or not to have replaced the term of a
+    /// read, no longer than until `deadline`.
     pub async fn confirm(
         &self,
         group: &Arc<str>,
         incarnation: Incarnation,
         member: usize,
-        need: Unconfirmed,
+        unconfirmed: Unconfirmed,
         deadline: Duration,
     ) -> Outcome {
         let before = self.context.now();
         let (reply, answer) = oneshot::channel();
-        let settle = Settle {
+        let request = ConfirmRequest {
             group: group.clone(),
             incarnation,
             member,
-            need,
+            unconfirmed,
             deadline: deadline.max(before + Duration::from_millis(1)),
             reply,
         };
-        let _ = self.context.decisions.send(Message::Settle(settle));
+        let _ = self.context.decisions.send(Message::Confirm(request));
         let outcome = answer.await.unwrap_or(Outcome::Unknown);
         let took = self.context.now().saturating_sub(before);
         let milliseconds = took.as_secs_f64() * 1_000.0;
@@ -430,9 +450,9 @@
         outcome
     }
 
-    /// Keeps the connection for the session's next exchange. What a read in the
-    /// transaction saw is checked as outside of one, where the codec asks for it.
-    async fn keep(
+    /// Holds the connection for the session's next exchange. The first read of a transaction that
+    /// this exchange opened is confirmed like one outside of a transaction.
+    async fn hold(
         &self,
         mut lease: Lease,
         answer: Answer,
@@ -440,19 +460,22 @@
         since: Duration,
         deadline: Duration,
     ) -> Result<Reply, Failure> {
-        let grant = &lease.place.grant;
-        let server = server(grant);
+        let grant = &lease.slot.grant;
+        let server = server_role(grant);
         let believed = grant.believed;
         let opened = exchange.setup.opening.is_some();
-        if opened && let Some(need) = read_need(&lease.place, lease.target, since, None) {
+        if opened
+            && let Some(unconfirmed) = unconfirmed_read(&lease.slot, lease.target, since, None)
+        {
             let (incarnation, member) = (grant.incarnation, grant.member);
-            let settled = self.confirm(&exchange.group, incarnation, member, need, deadline);
-            self.after_settling(settled.await, need, exchange)?;
+            let confirmation =
+                self.confirm(&exchange.group, incarnation, member, unconfirmed, deadline);
+            self.check_outcome(confirmation.await, unconfirmed, exchange)?;
         }
-        let id = self.next();
-        lease.touched = self.context.now();
-        if lease.place.grant.rests {
-            lease.place.rest();
+        let id = self.take_id();
+        lease.last_used = self.context.now();
+        if lease.slot.grant.idle_frees_slot {
+            lease.slot.set_idle();
         }
         self.leases.borrow_mut().insert(id, lease);
         Ok(Reply {
@@ -466,31 +489,31 @@
         })
     }
 
-    /// Goes on with a session's held connection.
-    async fn go_on(&self, id: u64, exchange: &Exchange) -> Result<Reply, Failure> {
+    /// Runs an exchange on the connection held for its session.
+    async fn serve_held(&self, id: u64, exchange: &Exchange) -> Result<Reply, Failure> {
         let held = self.leases.borrow_mut().remove(&id);
         let mut lease = held.ok_or(Failure::TransactionLost)?;
-        lease.place.resume();
+        lease.slot.resume();
         let now = self.context.now();
         let deadline = now + exchange.patience;
         let wrote = lease.wrote;
         loop {
             match self.run(&mut lease, exchange).await {
                 Ok(answer) if answer.verdict == Verdict::Rejection(Rejection::Busy) => {
-                    if self.again(deadline, PAUSE).await.is_err() {
+                    if self.await_retry(deadline, RETRY_DELAY).await.is_err() {
                         self.roll_back(lease);
                         return Err(Failure::TransactionLost);
                     }
                 }
                 Ok(answer) => return self.finish(lease, answer, exchange, now, deadline).await,
-                // Lost at its end, a transaction that wrote may be committed or not.
-                Err(()) if exchange.commits && wrote => return Err(self.unknown(exchange)),
+                // A commit without an answer may have taken effect.
+                Err(()) if exchange.commits && wrote => return Err(self.unknown_outcome(exchange)),
                 Err(()) => return Err(Failure::TransactionLost),
             }
         }
     }
 
-    /// Gives up a held connection; the member rolls back.
+    /// Rolls back a held connection's transaction and releases the connection.
     pub fn abandon(self: &Rc<Self>, id: u64) {
         let held = self.leases.borrow_mut().remove(&id);
         if let Some(lease) = held {
@@ -498,30 +521,30 @@
         }
     }
 
-    /// Rolls back and returns the connection; nobody waits for it.
+    /// Rolls back in the background and returns the connection to the pool.
     fn roll_back(&self, mut lease: Lease) {
         let pool = self.pool.clone();
         tokio::task::spawn_local(async move {
-            let done = tokio::time::timeout(ROLL_BACK_WAIT, lease.connection.roll_back()).await;
+            let done = tokio::time::timeout(ROLLBACK_TIMEOUT, lease.connection.roll_back()).await;
             if let Ok(Ok(())) = done {
-                pool.put(&lease.place.grant.spec, lease.connection);
+                pool.put(&lease.slot.grant.spec, lease.connection);
             }
         });
     }
 
-    /// Closes idle connections that this box has no share in.
+    /// Closes idle connections beyond this box's share.
     pub fn trim(&self) {
         self.pool.trim(&self.context.owned.borrow());
         self.context.idle.set(self.pool.idle());
     }
 
-    /// Gives up connections held without a statement for too long.
-    pub fn reap(&self) {
+    /// Rolls back the transactions that have been idle for too long.
+    pub fn roll_back_expired(&self) {
         let now = self.context.now();
         let mut leases = self.leases.borrow_mut();
-        let rests =
-            |lease: &Lease| now >= lease.touched + self.context.lease_idle(&lease.place.group);
-        let late = leases.extract_if(|_, lease| rests(lease));
+        let expired =
+            |lease: &Lease| now >= lease.last_used + self.context.lease_idle(&lease.slot.group);
+        let late = leases.extract_if(|_, lease| expired(lease));
         let late: Vec<Lease> = late.map(|(_, lease)| lease).collect();
         drop(leases);
         for lease in late {
@@ -530,24 +553,26 @@
     }
 }
 
-fn server(grant: &Grant) -> Server {
+fn server_role(grant: &Grant) -> Server {
     match grant.primary {
         true => Server::Primary,
         false => Server::Replica,
     }
 }
 
-/// What must be seen before a read's answer may be given out.
-fn read_need(
-    place: &Slot,
+/// Returns what must be confirmed before the answer to a read is passed on, if anything.
+fn unconfirmed_read(
+    slot: &Slot,
     target: Target,
     since: Duration,
     position: Option<Position>,
 ) -> Option<Unconfirmed> {
-    let term = place.grant.term;
+    let term = slot.grant.term;
     let since = match target {
         Target::Strict => since,
-        Target::Replica { max_age } if place.grant.primary => place.began.saturating_sub(max_age),
+        Target::Replica { max_age } if slot.grant.primary => {
+            slot.granted_at.saturating_sub(max_age)
+        }
         _ => return None,
     };
     Some(Unconfirmed::Read {
@@ -557,19 +582,20 @@
     })
 }
 
-/// Why a statement did not run, where another member may run it.
-fn unrun(answer: &Answer, exchange: &Exchange) -> Option<Rejection> {
+/// Returns why a statement did not run, if another member may run it. A read that a replica
+/// rejects because it writes is the caller's error.
+fn rejection(answer: &Answer, exchange: &Exchange) -> Option<Rejection> {
     let Verdict::Rejection(why) = answer.verdict else {
         return None;
     };
     let reads = matches!(exchange.target, Target::Replica { .. });
-    let theirs = why == Rejection::NotPrimary && reads;
+    let caller_error = why == Rejection::NotPrimary && reads;
     let ended = answer.status == Some(Status::Idle);
-    (ended && !theirs).then_some(why)
+    (ended && !caller_error).then_some(why)
 }
 
-/// Returns when the member is replaced, or suspected for too long.
-async fn given_up(grant: &mut Grant) {
+/// Waits until the member is replaced as the primary, or suspected for too long.
+async fn member_failed(grant: &mut Grant) {
     loop {
         let (term, suspected) = {
             let health = grant.health.borrow_and_update();
@@ -579,7 +605,7 @@
             return;
         }
         if suspected == Some(true) {
-            let changed = tokio::time::timeout(SUSPECT_PATIENCE, grant.health.changed()).await;
+            let changed = tokio::time::timeout(SUSPECTED_TIMEOUT, grant.health.changed()).await;
             if changed.is_err() {
                 return;
             }
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -1,4 +1,4 @@
-//! Puts a box together and runs it until it is told to stop.
+//! Assembles a box and runs it until it is told to stop.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -36,22 +36,22 @@
 use crate::http::Client;
 use crate::metrics::Metrics;
 
-const COMMIT_TRIES: u32 = 5;
-const COMMIT_PAUSE: Duration = Duration::from_millis(200);
-const REAP: Duration = Duration::from_secs(1);
-/// Time between two looks whether the table answers.
-const ENTER_LOOK: Duration = Duration::from_millis(50);
-/// Time for the list at the end.
-const LEAVE_WAIT: Duration = Duration::from_millis(300);
-/// Time for which the list may lack this box before it lists itself again, at least.
-const LACKED: Duration = Duration::from_millis(2_500);
-/// Time that a box's first question whether it is cut off gets before it takes callers:
-/// a round of owners' words, those that are silent included.
-const SETTLE_WAIT: Duration = Duration::from_millis(200);
-/// Time between two tries to be listed.
-const ENTER_AGAIN: Duration = Duration::from_millis(800);
+const COMMIT_ATTEMPTS: u32 = 5;
+const COMMIT_RETRY_DELAY: Duration = Duration::from_millis(200);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval for checking whether the list of boxes is loaded.
+const ROSTER_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout for removing this box from the list of boxes.
+const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Least time for which this box is missing from the list before it registers again.
+const MIN_MISSING_TIME: Duration = Duration::from_millis(2_500);
+/// Time for which a box waits for its first check for a partition before it takes callers. It
+/// exceeds the timeout of the query to the owners.
+const PARTITION_CHECK_TIMEOUT: Duration = Duration::from_millis(200);
+/// Delay between two attempts to register this box.
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(800);
 
-/// What stands at a box's borders.
+/// The implementations of a box's borders.
 pub struct Ports {
     pub clock: Rc<dyn Clock>,
     pub client: Client,
@@ -61,14 +61,14 @@
     pub table: Rc<dyn Table>,
     pub roster: Rc<dyn Roster>,
     pub metrics: Rc<Metrics>,
-    /// Settings that change while the box runs, where something tells.
+    /// Updates of the settings that can change while the box runs.
     pub live: Option<watch::Receiver<Arc<Live>>>,
-    /// Told whether the box takes callers.
+    /// Receives whether the box takes callers.
     pub ready: Option<watch::Sender<bool>>,
 }
 
 impl Ports {
-    /// Ports around a pool of connections that `dialer` opens.
+    /// Creates ports with a pool of connections that `dialer` opens.
     pub fn new(
         client: Client,
         entry: Rc<dyn Entry>,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Runs a box until `stop` says so, then drains it.
+/// Runs a box until `stop` is true, then drains it.
 pub async fn run(
     settings: Run,
     decisions: Settings,
@@ -173,10 +173,10 @@
     let mut background = vec![
         tokio::task::spawn_local(Driver::new(context.clone(), decisions, decisions_rx).run()),
         tokio::task::spawn_local(keeper.run()),
-        tokio::task::spawn_local(work(context.clone(), owner.clone(), work_rx)),
-        tokio::task::spawn_local(reap(owner.clone())),
-        tokio::task::spawn_local(enter(context.clone())),
-        tokio::task::spawn_local(tell_live(context.clone(), live)),
+        tokio::task::spawn_local(handle_work(context.clone(), owner.clone(), work_rx)),
+        tokio::task::spawn_local(close_idle(owner.clone())),
+        tokio::task::spawn_local(keep_registered(context.clone())),
+        tokio::task::spawn_local(forward_settings(context.clone(), live)),
         tokio::task::spawn_local(serve_api(api, operators)),
     ];
     if let Some(listener) = metrics_listener {
@@ -196,7 +196,7 @@
     }
     events::emit(log, &events::READY, &[("box", name)]);
     if let Some(ready) = ready {
-        tokio::task::spawn_local(tell_ready(context.clone(), ready));
+        tokio::task::spawn_local(report_readiness(context.clone(), ready));
     }
     let serving = {
         let (context, owner) = (context.clone(), owner.clone());
@@ -208,8 +208,8 @@
     events::emit(log, &events::DRAINING, &[("box", name)]);
     let end = context.now() + context.live.borrow().drain;
     drain(&context, &owner, end).await;
-    leave(context.clone()).await;
-    // Callers may have come meanwhile: the balancer sends some for two seconds.
+    deregister(context.clone()).await;
+    // New callers may have connected meanwhile, until the balancer notices.
     drain(&context, &owner, end).await;
     serving.abort();
     for task in background {
@@ -225,22 +225,22 @@
     listener.with_context(|| format!("can't listen on {}:{port}", settings.ip))
 }
 
-/// Tells the decisions of settings that changed.
-async fn tell_live(context: Rc<Context>, mut live: watch::Receiver<Arc<Live>>) {
+/// Passes changed settings on to the decisions.
+async fn forward_settings(context: Rc<Context>, mut live: watch::Receiver<Arc<Live>>) {
     while live.changed().await.is_ok() {
-        if let Some(most) = live.borrow_and_update().leave_most {
-            let _ = context.decisions.send(Message::LeaveMost(most));
+        if let Some(limit) = live.borrow_and_update().leave_most {
+            let _ = context.decisions.send(Message::DrainLimit(limit));
         }
     }
 }
 
-/// Waits until the last caller is gone, nothing is held for other boxes and no ballot of this
-/// one is under way, no longer than until `end`.
+/// Waits until no callers are connected, nothing is in progress or held for other boxes, and this
+/// box has no ballot under way, but no longer than until `end`.
 async fn drain(context: &Context, owner: &Owner, end: Duration) {
-    let step = Duration::from_millis(20);
+    let interval = Duration::from_millis(20);
     let busy = || context.callers.get() > 0 || !owner.is_idle() || context.deposing.get();
     while context.now() < end && busy() {
-        tokio::time::sleep(step).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
@@ -248,13 +248,17 @@
     let _ = api::serve(api, listener).await;
 }
 
-/// Says that the box takes callers, except while they are better served elsewhere. A box
-/// that starts in a cut failure domain would be the only one of it that calls itself ready,
-/// and get all of its callers.
-async fn tell_ready(context: Rc<Context>, ready: watch::Sender<bool>) {
+/// Reports whether the box takes callers. The first check for a partition comes before: a box
+/// that started in a partitioned failure domain would otherwise be the only one there to report
+/// ready, and receive all callers of that domain.
+async fn report_readiness(context: Rc<Context>, ready: watch::Sender<bool>) {
     if context.settings.domain_loss {
         let mut settled = context.settled.subscribe();
-        let _ = tokio::time::timeout(SETTLE_WAIT, settled.wait_for(|settled| *settled)).await;
+        let _ = tokio::time::timeout(
+            PARTITION_CHECK_TIMEOUT,
+            settled.wait_for(|settled| *settled),
+        )
+        .await;
     }
     let mut away = context.away.subscribe();
     loop {
@@ -265,9 +269,9 @@
     }
 }
 
-/// Puts this box on the list, where boxes list themselves, and again whenever the list has
-/// lost it: the table may come back as a copy from before.
-async fn enter(context: Rc<Context>) {
+/// Keeps this box on the list if boxes register themselves. The list loses the box if the table
+/// is restored from an older copy.
+async fn keep_registered(context: Rc<Context>) {
     if !context.roster.is_self_registered() {
         return;
     }
@@ -278,59 +282,65 @@
         leaving: false,
         link_mbps: context.settings.link_mbps,
     };
-    // The list as it stood before this start tells whether others know this box. At the
-    // very first start it is empty, and fills while boxes wait to read it.
+    // Only the list as it was before this start tells whether the others know this box. At the
+    // first start of the system there is none to wait for.
     while !context.settings.first_start && !context.roster.is_loaded() {
-        tokio::time::sleep(ENTER_LOOK).await;
+        tokio::time::sleep(ROSTER_POLL_INTERVAL).await;
     }
     if !context.roster.contains(&listing) {
-        put_on_list(&context, &listing).await;
+        register(&context, &listing).await;
     }
     let mut boxes = context.boxes.clone();
-    let lacks = |boxes: &Arc<[Listing]>| !boxes.contains(&listing);
-    while boxes.wait_for(lacks).await.is_ok() {
-        // What was just written takes a while to come back, and others write at this moment too.
+    let is_missing = |boxes: &Arc<[Listing]>| !boxes.contains(&listing);
+    while boxes.wait_for(is_missing).await.is_ok() {
+        // A recent registration may not have been read back yet. The jitter spreads the writes of
+        // boxes that the list has lost at the same time.
         let jitter = rand::rng().random_range(1.0..2.0);
-        tokio::time::sleep(LACKED.mul_f64(jitter)).await;
+        tokio::time::sleep(MIN_MISSING_TIME.mul_f64(jitter)).await;
         let leaving = *context.leaving.borrow();
-        if lacks(&boxes.borrow_and_update()) && !leaving {
+        if is_missing(&boxes.borrow_and_update()) && !leaving {
             events::emit(&context.log, &events::LISTED_AGAIN, &[]);
-            put_on_list(&context, &listing).await;
+            register(&context, &listing).await;
         }
     }
 }
 
-async fn put_on_list(context: &Context, listing: &Listing) {
+async fn register(context: &Context, listing: &Listing) {
     while !*context.leaving.borrow() {
         let Err(error) = context.roster.register(listing).await else {
             return;
         };
         events::emit(&context.log, &events::NOT_LISTED, &[("error", &error)]);
-        tokio::time::sleep(ENTER_AGAIN).await;
+        tokio::time::sleep(REGISTER_RETRY_DELAY).await;
     }
 }
 
-async fn leave(context: Rc<Context>) {
-    let left = context.roster.deregister(&context.settings.name);
-    match tokio::time::timeout(LEAVE_WAIT, left).await {
+async fn deregister(context: Rc<Context>) {
+    let deregistered = context.roster.deregister(&context.settings.name);
+    match tokio::time::timeout(DEREGISTER_TIMEOUT, deregistered).await {
         Ok(Ok(())) => {}
         Ok(Err(error)) => {
             events::emit(&context.log, &events::NOT_LISTED, &[("error", &error)]);
         }
-        Err(late) => events::emit(&context.log, &events::NOT_LISTED, &[("error", &late)]),
+        Err(elapsed) => events::emit(&context.log, &events::NOT_LISTED, &[("error", &elapsed)]),
     }
 }
 
-async fn reap(owner: Rc<Owner>) {
+/// Closes idle connections and transactions periodically.
+async fn close_idle(owner: Rc<Owner>) {
     loop {
-        tokio::time::sleep(REAP).await;
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
         owner.trim();
-        owner.reap();
+        owner.roll_back_expired();
     }
 }
 
-/// Does what the HTTP side can't do from where it runs.
-async fn work(context: Rc<Context>, owner: Rc<Owner>, mut inbox: mpsc::UnboundedReceiver<Work>) {
+/// Serves the requests of the HTTP handlers, which must be `Send` and so can't do this themselves.
+async fn handle_work(
+    context: Rc<Context>,
+    owner: Rc<Owner>,
+    mut inbox: mpsc::UnboundedReceiver<Work>,
+) {
     while let Some(work) = inbox.recv().await {
         match work {
             Work::Serve(exchange, reply) => {
@@ -354,7 +364,7 @@
                 let table = context.table.clone();
                 let log = context.log.clone();
                 tokio::task::spawn_local(async move {
-                    let verdict = committed(&*table, &commit).await;
+                    let verdict = commit_with_retries(&*table, &commit).await;
                     if let Ok(Verdict::Done(revision)) = &verdict {
                         log_changes(&log, &commit, *revision);
                     }
@@ -365,7 +375,7 @@
     }
 }
 
-/// Names the resources that an operator has changed.
+/// Logs the resources that an operator has changed.
 pub fn log_changes(log: &Logger, commit: &Commit, revision: Revision) {
     for write in &commit.writes {
         let deleted = write.value.is_none();
@@ -378,15 +388,15 @@
     }
 }
 
-/// Commits, asking again with the same nonce when the answer is lost.
-async fn committed(table: &dyn Table, commit: &Commit) -> Result<Verdict, TableError> {
+/// Commits, with retries under the same nonce while the table gives no answer.
+async fn commit_with_retries(table: &dyn Table, commit: &Commit) -> Result<Verdict, TableError> {
     let mut last = Err(TableError::Unavailable("not asked".to_owned()));
-    for _ in 0..COMMIT_TRIES {
+    for _ in 0..COMMIT_ATTEMPTS {
         last = table.commit(commit).await;
         if last.is_ok() {
             return last;
         }
-        tokio::time::sleep(COMMIT_PAUSE).await;
+        tokio::time::sleep(COMMIT_RETRY_DELAY).await;
     }
     last
 }
--- a/src/node/slot.rs
+++ b/src/node/slot.rs
@@ -1,4 +1,4 @@
-//! A place at a member, and the connection that a session holds there.
+//! Slots at members, and the connections that sessions hold there.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -9,57 +9,58 @@
 use super::pool::Pooled;
 use crate::decisions::group::{Event, Target};
 
-/// A place at a member, given back when it is dropped.
+/// A slot at a member, released when it is dropped.
 pub struct Slot {
     pub context: Rc<Context>,
     pub group: Arc<str>,
     pub grant: Grant,
-    pub began: Duration,
-    /// When it last took a turn.
-    pub turn: Duration,
-    /// Its transaction waits for the caller's next statement.
-    pub resting: bool,
+    /// When the slot was granted.
+    pub granted_at: Duration,
+    /// When the running statement occupied the slot.
+    pub occupied_since: Duration,
+    /// Whether the transaction is idle until the caller's next statement.
+    pub idle: bool,
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
         let member = self.grant.member;
-        self.tell(match self.resting {
+        self.send_event(match self.idle {
             true => Event::IdleTransactionEnded { member },
             false => Event::SlotReleased {
                 member,
-                took: self.took(),
+                took: self.occupied_for(),
             },
         });
     }
 }
 
 impl Slot {
-    fn took(&self) -> Duration {
-        self.context.now().saturating_sub(self.turn)
+    fn occupied_for(&self) -> Duration {
+        self.context.now().saturating_sub(self.occupied_since)
     }
 
-    /// The transaction rests until the caller's next statement.
-    pub fn rest(&mut self) {
-        self.resting = true;
-        self.tell(Event::TransactionIdle {
+    /// Marks the transaction as idle until the caller's next statement.
+    pub fn set_idle(&mut self) {
+        self.idle = true;
+        self.send_event(Event::TransactionIdle {
             member: self.grant.member,
-            took: self.took(),
+            took: self.occupied_for(),
         });
     }
 
-    /// The caller's next statement is there.
+    /// Occupies the slot again for the caller's next statement.
     pub fn resume(&mut self) {
-        if std::mem::take(&mut self.resting) {
-            self.turn = self.context.now();
-            self.tell(Event::TransactionResumed {
+        if std::mem::take(&mut self.idle) {
+            self.occupied_since = self.context.now();
+            self.send_event(Event::TransactionResumed {
                 member: self.grant.member,
             });
         }
     }
 
-    /// Tells the loop what this statement saw of the member.
-    pub fn tell(&self, event: Event) {
+    /// Sends an event about the member to the incarnation that granted the slot.
+    pub fn send_event(&self, event: Event) {
         let incarnation = self.grant.incarnation;
         self.context.send_event(&self.group, incarnation, event);
     }
@@ -68,17 +69,17 @@
 /// A connection held for a session between its exchanges.
 pub struct Lease {
     pub connection: Pooled,
-    pub place: Slot,
+    pub slot: Slot,
     pub target: Target,
-    /// The open transaction may have changed data.
+    /// Whether the open transaction may have changed data.
     pub wrote: bool,
-    pub touched: Duration,
+    pub last_used: Duration,
 }
 
 impl Context {
-    /// Tells the loop what happened to one incarnation of a group.
+    /// Sends an event to one incarnation of a group.
     pub fn send_event(&self, group: &Arc<str>, incarnation: Incarnation, event: Event) {
-        let _ = self.decisions.send(Message::Group {
+        let _ = self.decisions.send(Message::GroupEvent {
             group: group.clone(),
             incarnation,
             event,
