--- a/src/node.rs
+++ b/src/node.rs
@@ -1,4 +1,4 @@
-//! A box: callers in front, owned groups behind, the resource API beside.
+//! A box: serves callers, acts as an owner of groups, and offers the resource API.
 
 pub mod api;
 pub mod configuration;
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -1,7 +1,8 @@
-//! The loop that owns the decisions, and the tasks that carry out their actions.
+//! The loop that owns the state of a box's decisions.
 //!
-//! One `select!` takes messages and the time; each group's decisions answer with
-//! actions. What needs I/O is spawned and comes back as a message.
+//! It receives messages, wakes up when a group's next tick is due, and passes events to the
+//! groups, which return actions. Actions that need I/O run in tasks of their own, whose outcomes
+//! return as messages.
 
 mod actions;
 mod ownership;
@@ -30,32 +31,33 @@
 use crate::declarations::snapshot::{Plan, Snapshot};
 use crate::events;
 
+/// Delay between two attempts to watch a member's process.
 const GONE_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// A box that owns more groups looks at each of them less often: the traffic for
-/// control stays within its budget, detection takes longer.
+/// Number of groups up to which a box probes members at the full rate. A box that owns more probes
+/// them less often, which bounds its control traffic but slows down detection.
 const GROUPS_AT_FULL_PROBE_RATE: u32 = 6;
-/// Owners that are asked what they think of a primary: enough for a majority's word
-/// from every failure domain, and not all of dozens.
+/// Most owners asked whether they suspect a primary; enough for opinions from every failure domain.
 const MAX_ASKED_OWNERS: usize = 10;
-/// Time in which a change of the list of boxes has reached all who read it while the
-/// table answers: news rests for two seconds, a forgotten history for about one.
+/// Time after which a change of the list has reached every box that can read the table. Exceeds
+/// the delays of the news among boxes and of reading the list anew.
 const LISTING_DELAY: Duration = Duration::from_secs(5);
 const MIN_SLEEP: Duration = Duration::from_millis(1);
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// A group this box owns, with its members' borders.
+/// A group that this box owns, with the borders to its members.
 struct Owned {
     incarnation: Incarnation,
-    /// As declared; the group's own plan keeps the places of former members.
+    /// The plan as declared. The group's own plan also keeps former members, so that indexes
+    /// remain valid.
     plan: Arc<Plan>,
     group: Group,
     members: Vec<Rc<dyn Member>>,
     watches: Vec<AbortHandle>,
     health: watch::Sender<Health>,
-    /// The duty as this box has taken it last.
+    /// This box's last claim to the duty.
     claim: Option<Claim>,
     next_tick: Duration,
-    /// This box does not own the group any more, and ends the ballot that it has begun.
+    /// Whether this box no longer owns the group and only finishes a ballot that it started.
     departing: bool,
 }
 
@@ -67,19 +69,21 @@
     }
 }
 
-/// The loop's state.
+/// Owns the state of the decisions.
 pub struct Driver {
     context: Rc<Context>,
     settings: Settings,
     inbox: mpsc::UnboundedReceiver<Message>,
     groups: HashMap<Arc<str>, Owned>,
-    /// Who asked for a member, and of which incarnation.
+    /// Replies to waiting slot requests, each with the group's incarnation.
     grant_replies: HashMap<u64, (Incarnation, oneshot::Sender<Result<Grant, Denial>>)>,
+    /// Replies to waiting confirmations, each with the group's incarnation.
     confirm_replies: HashMap<u64, (Incarnation, oneshot::Sender<Outcome>)>,
     snapshot: Arc<Snapshot>,
     ranking: Ranking,
-    /// When every box may be taken to know this one from the list.
+    /// When every box is expected to have read the list that contains this box.
     listing_settled: Option<Duration>,
+    /// Whether the list of boxes has been received since this process started.
     boxes_received: bool,
     partition_monitor: Monitor,
     next_id: u64,
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Runs until nobody can send any more.
+    /// Runs until all senders are dropped.
     pub async fn run(mut self) {
         loop {
             let now = self.context.now();
@@ -184,8 +188,8 @@
             Message::RevokeLease { group, reply } => {
                 self.handle_event(&group, Event::RevokeLease);
                 let owned = self.groups.get(&group);
-                // Who promotes as well must not be overtaken by an order that did not
-                // wait: its own may be under way, under a lower number.
+                // While this box has a ballot of its own, its promotion order may be under way
+                // under a lower generation. The other box must then wait for the lease to expire.
                 let given_up = owned.is_none_or(|owned| !owned.group.is_deposing());
                 let _ = reply.send(given_up);
             }
@@ -286,6 +290,8 @@
         self.handle_event(&request.group, event);
     }
 
+    /// Passes an event to a group and performs the resulting actions, which may in turn produce
+    /// events.
     fn handle_event(&mut self, id: &Arc<str>, event: Event) {
         let now = self.context.now();
         let mut events = vec![event];
@@ -314,7 +320,7 @@
     }
 }
 
-/// Tells the group whenever a member's process is seen to be gone.
+/// Reports to the group each time a member's process is gone.
 async fn watch_member(
     context: Rc<Context>,
     (group, incarnation): (Arc<str>, Incarnation),
--- a/src/node/driver/actions.rs
+++ b/src/node/driver/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the decisions ask for.
+//! Performs the actions that groups request.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::node::{duty, peers};
 
 impl Driver {
-    /// Carries out one action. What it brings about at once is returned.
+    /// Performs an action. Returns the event that results from it at once, if any.
     pub(super) fn perform(&mut self, id: &Arc<str>, action: Action) -> Option<Event> {
         let owned = self.groups.get(id)?;
         match action {
@@ -30,9 +30,9 @@
                     health: owned.health.subscribe(),
                 };
                 let reply = self.grant_replies.remove(&request);
-                let gone = reply.is_none_or(|(_, reply)| reply.send(Ok(grant)).is_err());
+                let withdrawn = reply.is_none_or(|(_, reply)| reply.send(Ok(grant)).is_err());
                 let took = self.settings.service_time;
-                return gone.then_some(Event::SlotReleased { member, took });
+                return withdrawn.then_some(Event::SlotReleased { member, took });
             }
             Action::Refuse {
                 id: request,
@@ -52,7 +52,7 @@
             }
             Action::Probe { member } => self.probe(id, owned, member),
             Action::RevokeLeases { term } => self.revoke_leases(id, owned, term),
-            // Its process may end before the ballot, and leave fences behind.
+            // A leaving box's process may end during the ballot and leave its fences behind.
             Action::ClaimDuty if *self.context.leaving.borrow() => {
                 return Some(Event::DutyClaimed { won: false });
             }
@@ -73,12 +73,12 @@
                 });
             }
             Action::Fence { member, term } => {
-                let bid = owned.group.bid(term);
+                let fence = owned.group.bid(term);
                 let border = owned.members[member].clone();
                 let (context, group) = (self.context.clone(), id.clone());
                 let name = owned.group.plan.members[member].name.clone();
                 self.spawn_for_event(id, async move {
-                    let answer = border.fence(&bid).await;
+                    let answer = border.fence(&fence).await;
                     if let Err(error) = &answer {
                         let fields: [(_, &dyn std::fmt::Display); 4] = [
                             ("group", &group),
@@ -98,7 +98,7 @@
             Action::ReleaseFence { member } => {
                 let border = owned.members[member].clone();
                 self.spawn_for_event(id, async move {
-                    // Whether it worked shows in the next report.
+                    // The probe that follows shows whether the fence was released.
                     let _ = border.release_fence().await;
                     Event::ProbeAll
                 });
@@ -138,7 +138,7 @@
                 let name = owned.group.plan.members[primary].name.clone();
                 self.context.metrics.replacements.add(1, &[]);
                 if self.context.settings.duty {
-                    // Members tell by themselves who leads; the duty is on record.
+                    // The members report the primary themselves, and the table holds the duty.
                     return None;
                 }
                 let record = peers::record(self.context.clone(), id.clone(), term, name);
@@ -149,7 +149,7 @@
         None
     }
 
-    /// Does something elsewhere and brings its event back.
+    /// Runs `work` in a task and sends its event to the group.
     pub(super) fn spawn_for_event(
         &self,
         id: &Arc<str>,
@@ -181,6 +181,7 @@
         });
     }
 
+    /// Asks the other owners whether they suspect the primary.
     pub(super) fn ask_opinions(&self, id: &Arc<str>, owned: &Owned) {
         let plan = &owned.group.plan;
         let term = owned.group.term();
@@ -207,17 +208,17 @@
         }
     }
 
-    /// Has all other boxes give up their leases. Where one does not answer, or the
-    /// list may be old, the wait goes on to its end.
+    /// Asks all other boxes to give up their leases. If a box doesn't answer, or the list of boxes
+    /// may be outdated, the ballot waits until the leases have expired.
     pub(super) fn revoke_leases(&self, id: &Arc<str>, owned: &Owned, term: u64) {
         let own = &self.context.settings.name;
         let owners = self.ranking.owners_of(&owned.group.plan);
         if !self.ranking.covers_all_boxes(owners.len()) {
-            // Another box may take itself for an owner by an older list.
+            // A box with an older list may also act as an owner.
             return;
         }
         if owned.claim.as_ref().is_some_and(|claim| claim.unconfirmed) {
-            // Without the table the list may be old.
+            // If the table gives no answer, the list of boxes may be outdated.
             return;
         }
         let others = owners.into_iter().filter(|listing| listing.name != *own);
@@ -236,6 +237,7 @@
         });
     }
 
+    /// Writes a log entry about a group.
     pub(super) fn log_note(&self, id: &Arc<str>, group: &Group, note: &Note) {
         let name = |member: usize| group.plan.members[member].name.clone();
         let log = &self.context.log;
@@ -308,7 +310,7 @@
     }
 }
 
-/// An age in milliseconds, where it is known.
+/// Returns the age in milliseconds, or "unknown".
 fn format_age(age: Option<Duration>) -> String {
     age.map_or_else(|| "unknown".to_owned(), |age| age.as_millis().to_string())
 }
--- a/src/node/driver/ownership.rs
+++ b/src/node/driver/ownership.rs
@@ -1,4 +1,5 @@
-//! Which groups this box owns, and what they are told of the world.
+//! Determines which groups this box owns, and passes on to them what changes outside: the list of
+//! boxes, the duties and the primaries.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -11,6 +12,7 @@
 use crate::decisions::duty::Duty;
 
 impl Driver {
+    /// Starts, updates and drops groups according to the configuration and the list of boxes.
     pub(super) fn update_owned_groups(&mut self) {
         let name = self.context.settings.name.clone();
         let mut owned_plans: BTreeMap<Arc<str>, (Arc<Plan>, u32, u32)> = BTreeMap::new();
@@ -25,8 +27,8 @@
             }
         }
         self.groups.retain(|id, owned| {
-            // A ballot that nobody ends leaves fences behind, and its group without a primary
-            // until others find that out.
+            // An unfinished ballot would leave its fences behind, and the group without a primary
+            // until another owner notices.
             owned.departing = !owned_plans.contains_key(id);
             !owned.departing || owned.group.is_deposing()
         });
@@ -43,7 +45,7 @@
                         owned.group.set_plan(plan, self.context.now());
                         self.add_members(&id);
                     }
-                    // What changed may have made something due.
+                    // The changes may have made an action due.
                     self.handle_event(&id, Event::Tick);
                 }
                 None => self.start_group(id, plan, (rank, owners), load_factor),
@@ -52,20 +54,20 @@
         self.release_departed();
     }
 
-    /// Gives up groups that were kept only for a ballot, once it has ended.
+    /// Drops groups that were kept only for a ballot, once it has ended.
     pub(super) fn drop_departed(&mut self) {
-        let done = |owned: &Owned| owned.departing && !owned.group.is_deposing();
-        if self.groups.values().any(done) {
-            self.groups.retain(|_, owned| !done(owned));
+        let finished = |owned: &Owned| owned.departing && !owned.group.is_deposing();
+        if self.groups.values().any(finished) {
+            self.groups.retain(|_, owned| !finished(owned));
             self.release_departed();
         }
     }
 
-    /// Answers those who waited for a group that is not owned any more.
+    /// Drops the replies to requests for groups that are no longer owned, and publishes this
+    /// box's share of the connections to the members of the remaining groups.
     pub(super) fn release_departed(&mut self) {
         let live: HashSet<Incarnation> = self.groups.values().map(|o| o.incarnation).collect();
-        // Dropped, a grant's reply says that this box is no owner, and a
-        // settlement's that the outcome is unknown.
+        // The receivers treat a dropped reply as `NotOwner` or `Outcome::Unknown`.
         self.grant_replies
             .retain(|_, (incarnation, _)| live.contains(incarnation));
         self.confirm_replies
@@ -79,6 +81,7 @@
         self.context.owned.send_replace(addresses);
     }
 
+    /// Starts to act as an owner of a group.
     pub(super) fn start_group(
         &mut self,
         id: Arc<str>,
@@ -111,25 +114,26 @@
         self.handle_event(&id, Event::BoxListed { listed });
     }
 
-    /// Makes the borders of members that have none yet.
+    /// Creates and watches the borders to new members.
     pub(super) fn add_members(&mut self, id: &Arc<str>) {
         let Some(owned) = self.groups.get_mut(id) else {
             return;
         };
-        for place in owned.members.len()..owned.group.plan.members.len() {
+        for index in owned.members.len()..owned.group.plan.members.len() {
             let border = self
                 .context
                 .members
-                .member(&owned.group.plan.members[place]);
+                .member(&owned.group.plan.members[index]);
             let group = (id.clone(), owned.incarnation);
-            let watching = watch_member(self.context.clone(), group, place, border.clone());
+            let watching = watch_member(self.context.clone(), group, index, border.clone());
             let watch = tokio::task::spawn_local(watching).abort_handle();
             owned.watches.push(watch);
             owned.members.push(border);
         }
     }
 
-    /// Notes since when the list of boxes has named this one.
+    /// Records since when the list of boxes contains this box, and has the groups informed once
+    /// that is settled.
     pub(super) fn update_listing(&mut self, boxes: &[Listing]) {
         let own = &self.context.settings.name;
         let listed = boxes.iter().any(|listing| listing.name == *own);
@@ -138,7 +142,7 @@
         self.listing_settled = match (listed, self.listing_settled) {
             (false, _) => None,
             (true, Some(since)) => Some(since),
-            // It stood there before this process started.
+            // This box was on the list before its process started.
             (true, None) if first && !self.context.settings.first_start => Some(Duration::ZERO),
             (true, None) => Some(now + LISTING_DELAY),
         };
@@ -151,12 +155,13 @@
         }
     }
 
-    /// Whether every other box may be taken to know this one.
+    /// Whether every other box is expected to know this box from the list.
     pub(super) fn is_listing_settled(&self) -> bool {
         let now = self.context.now();
         self.listing_settled.is_some_and(|since| now >= since)
     }
 
+    /// Informs the groups whether the other boxes know this box.
     pub(super) fn report_listing(&mut self) {
         let listed = self.is_listing_settled();
         let groups: Vec<Arc<str>> = self.groups.keys().cloned().collect();
@@ -165,7 +170,7 @@
         }
     }
 
-    /// Takes another bound for members that leave.
+    /// Changes the time for which a leaving member is still used.
     pub(super) fn set_drain_limit(&mut self, limit: Duration) {
         self.settings.drain_limit = limit;
         let groups: Vec<Arc<str>> = self.groups.keys().cloned().collect();
@@ -173,35 +178,36 @@
             if let Some(owned) = self.groups.get_mut(&id) {
                 owned.group.set_drain_limit(limit);
             }
-            // A shorter bound may be over by now.
+            // A shorter limit may have expired already.
             self.handle_event(&id, Event::Tick);
         }
     }
 
-    /// Tells groups whose duty another box has taken.
+    /// Informs groups whose duty another box has claimed.
     pub(super) fn report_taken_duties(&mut self, before: &Snapshot) {
         if before.revision == Revision::NONE {
-            // What was taken before this box started is over.
+            // Claims from before this box started are of no interest.
             return;
         }
         let own = &self.context.settings.name;
-        let foreign = |group: &Arc<str>, duty: &Duty| {
+        let claimed_elsewhere = |group: &Arc<str>, duty: &Duty| {
             let known = before.duties.get(group);
-            // An older copy of the table gives the same duty another revision.
-            let anew = known.is_none_or(|known| {
+            // A table restored from an older copy gives the same duty another revision.
+            let is_new = known.is_none_or(|known| {
                 known.generation < duty.generation || known.revision.era() == duty.revision.era()
             });
             let known = known.map_or(Revision::NONE, |known| known.revision);
-            duty.holder != *own && known < duty.revision && anew
+            duty.holder != *own && known < duty.revision && is_new
         };
         let duties = self.snapshot.duties.iter();
-        let taken = duties.filter(|(group, duty)| foreign(group, duty));
+        let taken = duties.filter(|(group, duty)| claimed_elsewhere(group, duty));
         let taken: Vec<Arc<str>> = taken.map(|(group, _)| group.clone()).collect();
         for group in taken {
             self.handle_event(&group, Event::DutyTakenElsewhere);
         }
     }
 
+    /// Informs groups of their primaries as recorded in the table or announced by peers.
     pub(super) fn announce_primaries(&mut self) {
         let primaries = self.snapshot.primaries.clone();
         for (id, record) in primaries.iter() {
--- a/src/node/driver/partition.rs
+++ b/src/node/driver/partition.rs
@@ -1,5 +1,5 @@
-//! Asks owners of other groups whether they reach a majority of their members, and warns
-//! the failure domain of a cut.
+//! Checks whether the box is partitioned: feeds the monitor, queries the owners of other groups and
+//! alerts other boxes of the failure domain.
 
 use std::sync::Arc;
 
@@ -9,20 +9,20 @@
 use crate::decisions::partition::{Counts, alert_targets};
 use crate::node::peers;
 
-/// Groups that are asked about: a cut shows in all of them.
+/// Number of groups whose owners are queried; a partition shows in any of them.
 const QUERIED_GROUPS: usize = 6;
-/// Owners of a group that are asked, the nearest first.
+/// Number of owners queried per group, the nearest first.
 const QUERIED_OWNERS: usize = 2;
 
 impl Driver {
-    /// Notes whether the box is cut off, and asks others where its own groups do not
-    /// tell.
+    /// Updates whether the box is partitioned, and queries the owners of other groups if its own
+    /// groups don't suffice to tell.
     pub(super) fn check_partition(&mut self) {
         if *self.context.leaving.borrow() {
             return;
         }
         let now = self.context.now();
-        let mut view = Counts {
+        let mut counts = Counts {
             groups: self.snapshot.groups.len(),
             owned: self.groups.len(),
             list_settled: self.is_listing_settled(),
@@ -30,18 +30,18 @@
         };
         for owned in self.groups.values() {
             match owned.group.reaches_majority(now) {
-                Some(true) => view.with_majority += 1,
-                Some(false) => view.without_majority += 1,
+                Some(true) => counts.with_majority += 1,
+                Some(false) => counts.without_majority += 1,
                 None => {}
             }
         }
-        if view.owned == view.groups && view.owned > 0 {
-            // Its own groups tell.
+        if counts.owned == counts.groups && counts.owned > 0 {
+            // The box's own groups suffice to tell.
             self.context
                 .settled
                 .send_if_modified(|settled| !std::mem::replace(settled, true));
         }
-        self.partition_monitor.update_counts(view, now);
+        self.partition_monitor.update_counts(counts, now);
         if self
             .partition_monitor
             .query_due(now)
@@ -53,43 +53,46 @@
         self.update_away(now);
     }
 
-    /// Says whether callers are better served elsewhere.
+    /// Publishes whether callers are better served by boxes elsewhere, and alerts other boxes when
+    /// the partition begins.
     fn update_away(&self, now: Duration) {
-        let cut_off = self.partition_monitor.is_partitioned();
+        let partitioned = self.partition_monitor.is_partitioned();
         let changed = self.context.away.send_if_modified(|away| {
-            let changed = away.is_some() != cut_off;
+            let changed = away.is_some() != partitioned;
             if changed {
-                *away = cut_off.then_some(now);
+                *away = partitioned.then_some(now);
             }
             changed
         });
         if changed {
-            let kind = match cut_off {
+            let kind = match partitioned {
                 true => &events::CUT_OFF,
                 false => &events::REJOINED,
             };
             events::emit(&self.context.log, kind, &[]);
         }
-        if changed && cut_off {
+        if changed && partitioned {
             self.send_alerts();
         }
     }
 
+    /// Alerts a few boxes of the failure domain, if the loss of a domain is to be tolerated.
     fn send_alerts(&self) {
         let settings = &self.context.settings;
         if !settings.domain_loss {
             return;
         }
         let boxes = self.context.boxes.borrow().clone();
-        let warned = alert_targets(&boxes, &settings.name, &settings.domain, &mut rand::rng());
-        for neighbour in warned {
+        let targets = alert_targets(&boxes, &settings.name, &settings.domain, &mut rand::rng());
+        for target in targets {
             self.context.metrics.cut_warnings.add(1, &[]);
-            let warning = peers::warn(self.context.clone(), neighbour.address.clone());
-            tokio::task::spawn_local(warning);
+            let alert = peers::warn(self.context.clone(), target.address.clone());
+            tokio::task::spawn_local(alert);
         }
     }
 
-    /// Takes a neighbour's word that other failure domains are silent.
+    /// Handles an alert from another box of the failure domain: checks at once whether the members
+    /// of the other domains answer, and passes the alert on.
     pub(super) fn handle_alert(&mut self, from: &str) {
         if self.partition_monitor.is_partitioned() {
             return;
@@ -101,7 +104,7 @@
         self.probe_other_domains();
     }
 
-    /// Looks at the members of other failure domains before their turn.
+    /// Probes the members of other failure domains at once.
     fn probe_other_domains(&mut self) {
         let groups: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for group in groups {
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Notes what an event of a group tells of the way to another failure domain.
+    /// Records what an event of a group shows about the connection to another failure domain.
     pub(super) fn record_contact(&mut self, group: &Arc<str>, event: &Event) {
         let (member, answered) = match event {
             Event::Answered { member, .. }
@@ -140,6 +143,7 @@
         }
     }
 
+    /// Asks the owners of some other groups whether they reach a majority.
     fn query_owners(&self) {
         let others = self.snapshot.groups.keys();
         let others = others.filter(|id| !self.groups.contains_key(*id));
@@ -147,7 +151,7 @@
         let asked = others.choose_multiple(&mut rand::rng(), QUERIED_GROUPS);
         let asked = asked.map(|id| {
             let owners = self.nearest_owners(id);
-            reaches(self.context.clone(), Arc::clone(id), owners)
+            query_majority(self.context.clone(), Arc::clone(id), owners)
         });
         let asked: Vec<_> = asked.collect();
         let decisions = self.context.decisions.clone();
@@ -166,9 +170,13 @@
     }
 }
 
-/// Whether the first owner that can tell reaches a majority of the group. They are asked at
-/// the same time: in a cut some say nothing.
-async fn reaches(context: Rc<Context>, group: Arc<str>, owners: Vec<Arc<str>>) -> Option<bool> {
+/// Asks owners whether they reach a majority of the group, and returns the first definite reply in
+/// their order. All are asked at once, since in a partition some don't answer.
+async fn query_majority(
+    context: Rc<Context>,
+    group: Arc<str>,
+    owners: Vec<Arc<str>>,
+) -> Option<bool> {
     let asked = owners.iter();
     let asked = asked.map(|owner| peers::reaches(&context, owner, &group));
     let replies = futures::future::join_all(asked).await;
