--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -248,9 +248,9 @@
     let _ = api::serve(api, listener).await;
 }
 
-/// Reports whether the box takes callers. The first check for a partition comes before: a box
-/// that started in a partitioned failure domain would otherwise be the only one there to report
-/// ready, and receive all callers of that domain.
+/// Reports that the box takes callers, except while boxes elsewhere serve them better. The first
+/// check for a partition comes before: a box that started in a partitioned failure domain would
+/// otherwise be the only one there to report ready, and receive all callers of that domain.
 async fn report_readiness(context: Rc<Context>, ready: watch::Sender<bool>) {
     if context.settings.domain_loss {
         let mut settled = context.settled.subscribe();
@@ -283,7 +283,7 @@
         link_mbps: context.settings.link_mbps,
     };
     // Only the list as it was before this start tells whether the others know this box. At the
-    // first start of the system there is none to wait for.
+    // first start of the system it is empty, and would only fill during the wait.
     while !context.settings.first_start && !context.roster.is_loaded() {
         tokio::time::sleep(ROSTER_POLL_INTERVAL).await;
     }
