--- a/src/node.rs
+++ b/src/node.rs
@@ -1,4 +1,4 @@
-//! A box: callers in front, owned groups behind, the resource API beside.
+//! A box: serves callers, acts as an owner of groups, and offers the resource API.
 
 pub mod api;
 pub mod configuration;
@@ -14,9 +14,9 @@
 pub mod once;
 pub mod owner;
 pub mod peers;
-pub mod place;
 pub mod pool;
 pub mod routes;
 pub mod run;
 pub mod serving;
 pub mod session;
+pub mod slot;
