--- a/src/node.rs
+++ b/src/node.rs
@@ -16,7 +16,7 @@
 pub mod peers;
 pub mod place;
 pub mod pool;
+pub mod request;
 pub mod routes;
 pub mod run;
-pub mod serving;
 pub mod session;
--- a/src/node/api.rs
+++ b/src/node/api.rs
@@ -35,7 +35,7 @@
 pub enum Work {
     Serve(Box<Exchange>, oneshot::Sender<Result<Reply, Failure>>),
     Abandon(u64),
-    Lend(limits::Question, oneshot::Sender<Option<Loan>>),
+    Lend(limits::LoanRequest, oneshot::Sender<Option<Loan>>),
     Commit(Commit, oneshot::Sender<Result<Verdict, TableError>>),
 }
 
--- a/src/node/context.rs
+++ b/src/node/context.rs
@@ -44,27 +44,27 @@
     pub snapshot: watch::Receiver<Arc<Snapshot>>,
     pub boxes: watch::Receiver<Arc<[Listing]>>,
     /// True from the moment the box leaves.
-    pub leaving: watch::Receiver<bool>,
+    pub shutting_down: watch::Receiver<bool>,
     pub classes: Classes,
     pub routes: Routes,
     /// Limits on the workspaces' operations.
     pub limits: Limits,
     /// Connections to members that nobody uses now.
-    pub idle: Cell<usize>,
+    pub idle_connections: Cell<usize>,
     /// This box's share of the connections to each member of its groups, by address.
-    pub owned: watch::Sender<HashMap<Arc<str>, usize>>,
+    pub connection_shares: watch::Sender<HashMap<Arc<str>, usize>>,
     /// Peers that did not answer, and until when they are asked last.
-    pub shunned: RefCell<HashMap<Arc<str>, Duration>>,
+    pub unresponsive_peers: RefCell<HashMap<Arc<str>, Duration>>,
     /// Callers connected now.
     pub callers: Cell<usize>,
     /// When the box began to leave, or was cut off: callers are better served elsewhere.
-    pub away: watch::Sender<Option<Duration>>,
+    pub not_ready_since: watch::Sender<Option<Duration>>,
     /// A ballot of this box is under way.
     pub deposing: Cell<bool>,
     /// Whether the box has found out if it is cut off.
-    pub settled: watch::Sender<bool>,
+    pub partition_known: watch::Sender<bool>,
     /// How the table is read.
-    pub pace: Cell<Polling>,
+    pub polling: Cell<Polling>,
 }
 
 /// Counts a caller for as long as it is connected.
@@ -89,13 +89,15 @@
     }
 
     /// A peer did not answer: others go first for a while.
-    pub fn shun(&self, peer: &Arc<str>) {
+    pub fn record_unresponsive(&self, peer: &Arc<str>) {
         let until = self.now() + SHUN;
-        self.shunned.borrow_mut().insert(peer.clone(), until);
+        self.unresponsive_peers
+            .borrow_mut()
+            .insert(peer.clone(), until);
     }
 
-    pub fn is_shunned(&self, peer: &str) -> bool {
-        let until = self.shunned.borrow().get(peer).copied();
+    pub fn is_unresponsive(&self, peer: &str) -> bool {
+        let until = self.unresponsive_peers.borrow().get(peer).copied();
         until.is_some_and(|until| self.now() < until)
     }
 
@@ -106,7 +108,7 @@
 
     /// The workspace that calls a database with a key of this digest; none where the
     /// database asks for no key.
-    pub fn caller(
+    pub fn authenticate(
         &self,
         database: &Database,
         key: &str,
@@ -115,15 +117,15 @@
     }
 
     /// Whether callers have been better served elsewhere for so long.
-    pub fn is_away_for(&self, rest: Duration) -> bool {
-        let since = *self.away.borrow();
+    pub fn is_not_ready_for(&self, rest: Duration) -> bool {
+        let since = *self.not_ready_since.borrow();
         since.is_some_and(|since| self.now() >= since + rest)
     }
 
     /// Time until callers of a box that said it is not ready are expected to be sent
     /// elsewhere; none where it is ready, or that time is over.
-    pub fn turns_in(&self) -> Option<Duration> {
-        let since = (*self.away.borrow())?;
+    pub fn time_until_redirect(&self) -> Option<Duration> {
+        let since = (*self.not_ready_since.borrow())?;
         let turned = since + self.settings.balancer_notice;
         turned
             .checked_sub(self.now())
@@ -131,8 +133,8 @@
     }
 
     /// Returns when callers have been better served elsewhere for so long.
-    pub async fn away_for(&self, rest: Duration) {
-        let mut away = self.away.subscribe();
+    pub async fn wait_until_not_ready_for(&self, rest: Duration) {
+        let mut away = self.not_ready_since.subscribe();
         loop {
             let since = *away.borrow_and_update();
             let changed = away.changed();
@@ -150,7 +152,7 @@
     }
 
     /// Time without a statement after which a group's open transaction is ended.
-    pub fn lease_idle(&self, group: &str) -> Duration {
+    pub fn idle_transaction_timeout(&self, group: &str) -> Duration {
         let snapshot = self.snapshot.borrow();
         let declared = snapshot
             .groups
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -190,7 +190,7 @@
             Message::Warned { from } => self.take_warning(&from),
             Message::Reached(words) => {
                 self.reach.record_replies(&words);
-                self.context.settled.send_replace(true);
+                self.context.partition_known.send_replace(true);
             }
             Message::Reach { group, reply } => {
                 let now = self.context.now();
@@ -207,8 +207,8 @@
                 let groups = self.groups.values().map(|owned| owned.group.dump(now));
                 let _ = reply.send(Dump {
                     callers: self.context.callers.get(),
-                    idle_connections: self.context.idle.get(),
-                    resting: self.context.pace.get() == Polling::Paused,
+                    idle_connections: self.context.idle_connections.get(),
+                    resting: self.context.polling.get() == Polling::Paused,
                     groups: groups.collect(),
                 });
             }
--- a/src/node/driver/acting.rs
+++ b/src/node/driver/acting.rs
@@ -53,7 +53,7 @@
             Action::Probe { member } => self.probe(id, owned, member),
             Action::RevokeLeases { term } => self.revoke(id, owned, term),
             // Its process may end before the ballot, and leave fences behind.
-            Action::ClaimDuty if *self.context.leaving.borrow() => {
+            Action::ClaimDuty if *self.context.shutting_down.borrow() => {
                 return Some(Event::DutyClaimed { won: false });
             }
             Action::ClaimDuty => {
--- a/src/node/driver/owning.rs
+++ b/src/node/driver/owning.rs
@@ -74,7 +74,7 @@
             members.map(move |member| (member.address.sql.clone(), share))
         });
         let addresses = addresses.collect();
-        self.context.owned.send_replace(addresses);
+        self.context.connection_shares.send_replace(addresses);
     }
 
     pub(super) fn start(
--- a/src/node/driver/reaching.rs
+++ b/src/node/driver/reaching.rs
@@ -18,7 +18,7 @@
     /// Notes whether the box is cut off, and asks others where its own groups do not
     /// tell.
     pub(super) fn note_cut_off(&mut self) {
-        if *self.context.leaving.borrow() {
+        if *self.context.shutting_down.borrow() {
             return;
         }
         let now = self.context.now();
@@ -38,7 +38,7 @@
         if view.owned == view.groups && view.owned > 0 {
             // Its own groups tell.
             self.context
-                .settled
+                .partition_known
                 .send_if_modified(|settled| !std::mem::replace(settled, true));
         }
         self.reach.update_counts(view, now);
@@ -52,7 +52,7 @@
     /// Says whether callers are better served elsewhere.
     fn tell_away(&self, now: Duration) {
         let cut_off = self.reach.is_partitioned();
-        let changed = self.context.away.send_if_modified(|away| {
+        let changed = self.context.not_ready_since.send_if_modified(|away| {
             let changed = away.is_some() != cut_off;
             if changed {
                 *away = cut_off.then_some(now);
--- a/src/node/follow.rs
+++ b/src/node/follow.rs
@@ -65,7 +65,7 @@
         told: HashMap::new(),
     };
     // As the table is started.
-    context.pace.set(Polling::Paused);
+    context.polling.set(Polling::Paused);
     loop {
         let settings = &context.settings;
         let listed = boxes.borrow_and_update().clone();
@@ -117,7 +117,7 @@
 impl Follower {
     fn set_pace(&self) {
         let pace = self.readers.polling(self.context.now());
-        let before = self.context.pace.replace(pace);
+        let before = self.context.polling.replace(pace);
         if before == pace {
             return;
         }
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -36,7 +36,7 @@
 
 /// A question to a lender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Question {
+pub struct LoanRequest {
     /// `PARTNER/WORKSPACE`.
     pub workspace: Arc<str>,
     pub wanted: u32,
@@ -155,7 +155,7 @@
         let spent = |lender: &&Listing| self.limits.spent(id, &lender.name, self.now());
         lenders.sort_by_cached_key(|lender| spent(lender));
         for lender in lenders.into_iter().take(TURN_TRIES) {
-            let question = Question {
+            let question = LoanRequest {
                 workspace: id.clone(),
                 wanted: 1,
                 within: Some(until.saturating_sub(self.now())),
@@ -194,7 +194,7 @@
             let loan = match known {
                 Some(wait) => Loan::Spent(wait),
                 None => {
-                    let question = Question {
+                    let question = LoanRequest {
                         workspace: id.clone(),
                         wanted,
                         within: None,
@@ -216,7 +216,7 @@
     }
 
     /// A lender's answer, none where it gives none.
-    async fn ask(&self, lender: &Listing, question: Question) -> Option<Loan> {
+    async fn ask(&self, lender: &Listing, question: LoanRequest) -> Option<Loan> {
         if lender.name == self.settings.name {
             return self.lend(&question).await;
         }
@@ -226,7 +226,7 @@
 
     /// Lends out of the part that this box lends, in turn where that is asked for; none where
     /// it is no lender of the workspace, as far as it knows.
-    pub async fn lend(&self, question: &Question) -> Option<Loan> {
+    pub async fn lend(&self, question: &LoanRequest) -> Option<Loan> {
         let id = &question.workspace;
         let now = self.now();
         let part = self.part(id)?;
--- a/src/node/once.rs
+++ b/src/node/once.rs
@@ -12,7 +12,7 @@
 use super::message::SettleNeed;
 use super::owner::Owner;
 use super::place::Place;
-use super::pool::Pooled;
+use super::pool::Connection;
 use crate::borders::upstream::{Answer, Keyed};
 use crate::decisions::confirmation::Outcome;
 use crate::decisions::group::Target;
@@ -84,7 +84,7 @@
 async fn attempt(
     owner: &Owner,
     place: &Place,
-    mut connection: Pooled,
+    mut connection: Connection,
     exchange: &Exchange,
     key: &Arc<str>,
 ) -> Keyed {
@@ -100,7 +100,7 @@
     };
     match done {
         Ok(keyed) => {
-            owner.pool.put(&place.grant.spec, connection);
+            owner.pool.release(&place.grant.spec, connection);
             keyed
         }
         Err(_) => Keyed::Unresolved,
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -13,7 +13,7 @@
 use super::message::{Ask, Denial, Grant, Incarnation, Message, Settle, SettleNeed};
 use super::once;
 use super::place::{Lease, Place};
-use super::pool::{Pool, Pooled};
+use super::pool::{Connection, Pool};
 use crate::borders::upstream::{Answer, ConnectError, Rejection, UpstreamError, Verdict};
 use crate::decisions::budget::Budget;
 use crate::decisions::confirmation::Outcome;
@@ -100,7 +100,7 @@
     /// Serves an exchange of another box. A leaving box takes none that begins
     /// something: the other box goes to the next owner.
     pub async fn serve_peer(&self, exchange: &Exchange) -> Result<Reply, Failure> {
-        if exchange.lease.is_none() && *self.context.leaving.borrow() {
+        if exchange.lease.is_none() && *self.context.shutting_down.borrow() {
             return Err(Failure::NotOwner);
         }
         self.serving.set(self.serving.get() + 1);
@@ -166,7 +166,7 @@
             Rejection::Busy => lease.place.tell(Event::ConnectionLimitReached { member }),
             Rejection::NotPrimary | Rejection::NotPrepared => lease.place.tell(Event::ProbeAll),
         }
-        self.pool.put(&lease.place.grant.spec, lease.connection);
+        self.pool.release(&lease.place.grant.spec, lease.connection);
     }
 
     /// Asks the loop for a place at a member.
@@ -217,9 +217,13 @@
     }
 
     /// A connection for a place; an error says when to try again.
-    pub async fn connect(&self, place: &Place, exchange: &Exchange) -> Result<Pooled, Duration> {
+    pub async fn connect(
+        &self,
+        place: &Place,
+        exchange: &Exchange,
+    ) -> Result<Connection, Duration> {
         let workspace = exchange.workspace.as_ref();
-        let taken = self.pool.take(&place.grant.spec, workspace).await;
+        let taken = self.pool.acquire(&place.grant.spec, workspace).await;
         taken.map_err(|error| {
             let member = place.grant.member;
             match error {
@@ -368,7 +372,7 @@
             Some(position) if wrote && grant.primary => Some(SettleNeed::Wrote(position)),
             _ => read_need(&place, target, since, position),
         };
-        self.pool.put(&place.grant.spec, connection);
+        self.pool.release(&place.grant.spec, connection);
         drop(place);
         if let Some(need) = need {
             let settled = self.settle(&exchange.group, incarnation, member, need, deadline);
@@ -508,23 +512,24 @@
         tokio::task::spawn_local(async move {
             let done = tokio::time::timeout(ROLL_BACK_WAIT, lease.connection.roll_back()).await;
             if let Ok(Ok(())) = done {
-                pool.put(&lease.place.grant.spec, lease.connection);
+                pool.release(&lease.place.grant.spec, lease.connection);
             }
         });
     }
 
     /// Closes idle connections that this box has no share in.
     pub fn trim(&self) {
-        self.pool.trim(&self.context.owned.borrow());
-        self.context.idle.set(self.pool.idle());
+        self.pool.trim(&self.context.connection_shares.borrow());
+        self.context.idle_connections.set(self.pool.idle_count());
     }
 
     /// Gives up connections held without a statement for too long.
     pub fn reap(&self) {
         let now = self.context.now();
         let mut leases = self.leases.borrow_mut();
-        let rests =
-            |lease: &Lease| now >= lease.touched + self.context.lease_idle(&lease.place.group);
+        let rests = |lease: &Lease| {
+            now >= lease.touched + self.context.idle_transaction_timeout(&lease.place.group)
+        };
         let late = leases.extract_if(|_, lease| rests(lease));
         let late: Vec<Lease> = late.map(|(_, lease)| lease).collect();
         drop(leases);
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -119,7 +119,7 @@
 pub async fn borrow(
     context: &Context,
     lender: &str,
-    question: &limits::Question,
+    question: &limits::LoanRequest,
     wait: Duration,
 ) -> Option<Loan> {
     let answer: Result<Option<Loan>, _> = call(context, lender, BORROW, question, wait).await;
--- a/src/node/place.rs
+++ b/src/node/place.rs
@@ -6,7 +6,7 @@
 
 use super::context::Context;
 use super::message::{Grant, Incarnation, Message};
-use super::pool::Pooled;
+use super::pool::Connection;
 use crate::decisions::group::{Event, Target};
 
 /// A place at a member, given back when it is dropped.
@@ -67,7 +67,7 @@
 
 /// A connection held for a session between its exchanges.
 pub struct Lease {
-    pub connection: Pooled,
+    pub connection: Connection,
     pub place: Place,
     pub target: Target,
     /// The open transaction may have changed data.
--- a/src/node/pool.rs
+++ b/src/node/pool.rs
@@ -23,7 +23,7 @@
 
 /// An open connection to a member, and for whom it was opened: members are told so once,
 /// so that it never serves anyone else.
-pub struct Pooled {
+pub struct Connection {
     inner: Box<dyn Upstream>,
     workspace: Option<Arc<str>>,
     _counted: Counted,
@@ -45,7 +45,7 @@
     }
 }
 
-impl Deref for Pooled {
+impl Deref for Connection {
     type Target = dyn Upstream;
 
     fn deref(&self) -> &Self::Target {
@@ -53,14 +53,14 @@
     }
 }
 
-impl DerefMut for Pooled {
+impl DerefMut for Connection {
     fn deref_mut(&mut self) -> &mut Self::Target {
         &mut *self.inner
     }
 }
 
 struct Idle {
-    connection: Pooled,
+    connection: Connection,
     since: Duration,
     /// Start of the member to which it leads.
     born: Option<u64>,
@@ -126,11 +126,11 @@
 
     /// A workspace's idle connection, or a new one. Without a workspace, one that was opened
     /// for nobody in particular.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         member: &Member,
         workspace: Option<&Arc<str>>,
-    ) -> Result<Pooled, ConnectError> {
+    ) -> Result<Connection, ConnectError> {
         let fits = |idle: &Idle| idle.connection.workspace.as_ref() == workspace;
         if let Some(known) = self.take_idle(member, fits) {
             return Ok(known);
@@ -144,7 +144,7 @@
             Counted::new(&line.open)
         };
         let name = workspace.map(|name| &**name);
-        Ok(Pooled {
+        Ok(Connection {
             inner: self.dialer.connect(member, name).await?,
             workspace: workspace.cloned(),
             _counted: counted,
@@ -152,15 +152,15 @@
     }
 
     /// Any idle connection, or a new one: for what a box says to a member by itself.
-    pub async fn take_any(&self, member: &Member) -> Result<Pooled, ConnectError> {
+    pub async fn acquire_any(&self, member: &Member) -> Result<Connection, ConnectError> {
         match self.take_idle(member, |_| true) {
             Some(known) => Ok(known),
-            None => self.take(member, None).await,
+            None => self.acquire(member, None).await,
         }
     }
 
     /// The most lately used idle connection of those that fit.
-    fn take_idle(&self, member: &Member, fits: impl Fn(&Idle) -> bool) -> Option<Pooled> {
+    fn take_idle(&self, member: &Member, fits: impl Fn(&Idle) -> bool) -> Option<Connection> {
         let mut lines = self.lines.borrow_mut();
         let idle = &mut lines.get_mut(&member.address.sql)?.idle;
         while let Some(place) = idle.iter().rposition(&fits) {
@@ -175,7 +175,7 @@
     }
 
     /// Takes back a connection whose last answer came whole.
-    pub fn put(&self, member: &Member, mut connection: Pooled) {
+    pub fn release(&self, member: &Member, mut connection: Connection) {
         if !connection.is_reusable() {
             return;
         }
@@ -201,7 +201,7 @@
     }
 
     /// Connections that nobody uses now.
-    pub fn idle(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         let lines = self.lines.borrow();
         lines.values().map(|line| line.idle.len()).sum()
     }
--- a/src/node/serving.rs
+++ b/src/node/request.rs
@@ -32,7 +32,7 @@
 }
 
 /// A statement as a codec hands it over.
-pub struct Work<'a> {
+pub struct Request<'a> {
     pub database: &'a Database,
     /// Whose it is, where callers need a key.
     pub workspace: Option<&'a Workspace>,
@@ -45,7 +45,7 @@
 
 impl Session {
     /// Has a statement served as its database's declaration says.
-    pub async fn work(&mut self, work: Work<'_>) -> Result<Reply, Failure> {
+    pub async fn serve_request(&mut self, work: Request<'_>) -> Result<Reply, Failure> {
         let scope = scope(work.database, &work.intent);
         let time = Duration::from_millis(work.database.timeout_ms);
         let time = time.saturating_sub(WAY_BACK).max(WAY_BACK);
@@ -60,7 +60,7 @@
             limit: Some(time),
             flow: Some(flow(work.database)),
             aim: Some(Duration::from_millis(work.database.target_ms)),
-            lease: self.lease(),
+            lease: self.connection_id(),
             setup: work.setup,
             payload: work.payload,
             on_primary: work.intent.transaction == Some(Begin::ReadWrite),
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -26,7 +26,7 @@
 }
 
 impl Classes {
-    pub fn of(&self, sql: &str) -> Rc<Class> {
+    pub fn classify(&self, sql: &str) -> Rc<Class> {
         if let Some(class) = self.known.borrow().get(sql) {
             return class.clone();
         }
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -137,18 +137,18 @@
         decisions: decisions_tx.clone(),
         snapshot: snapshot.clone(),
         boxes: boxes.clone(),
-        leaving: leaving.clone(),
+        shutting_down: leaving.clone(),
         classes: Classes::default(),
         routes: Routes::default(),
         limits: Limits::default(),
-        idle: Cell::new(0),
-        owned: watch::channel(HashMap::new()).0,
-        shunned: RefCell::default(),
+        idle_connections: Cell::new(0),
+        connection_shares: watch::channel(HashMap::new()).0,
+        unresponsive_peers: RefCell::default(),
         callers: Cell::new(0),
-        away: watch::channel(None).0,
+        not_ready_since: watch::channel(None).0,
         deposing: Cell::new(false),
-        settled: watch::channel(false).0,
-        pace: Cell::default(),
+        partition_known: watch::channel(false).0,
+        polling: Cell::default(),
         settings,
         live: live.clone(),
         log,
@@ -203,7 +203,7 @@
         tokio::task::spawn_local(async move { entry.serve(context, owner, callers).await })
     };
     let _ = stop.wait_for(|stop| *stop).await;
-    context.away.send_replace(Some(context.now()));
+    context.not_ready_since.send_replace(Some(context.now()));
     let _ = leaving_tx.send(true);
     events::emit(log, &events::DRAINING, &[("box", name)]);
     let end = context.now() + context.live.borrow().drain;
@@ -253,10 +253,10 @@
 /// and get all of its callers.
 async fn tell_ready(context: Rc<Context>, ready: watch::Sender<bool>) {
     if context.settings.domain_loss {
-        let mut settled = context.settled.subscribe();
+        let mut settled = context.partition_known.subscribe();
         let _ = tokio::time::timeout(SETTLE_WAIT, settled.wait_for(|settled| *settled)).await;
     }
-    let mut away = context.away.subscribe();
+    let mut away = context.not_ready_since.subscribe();
     loop {
         ready.send_replace(away.borrow_and_update().is_none());
         if away.changed().await.is_err() {
@@ -292,7 +292,7 @@
         // What was just written takes a while to come back, and others write at this moment too.
         let jitter = rand::rng().random_range(1.0..2.0);
         tokio::time::sleep(LACKED.mul_f64(jitter)).await;
-        let leaving = *context.leaving.borrow();
+        let leaving = *context.shutting_down.borrow();
         if lacks(&boxes.borrow_and_update()) && !leaving {
             events::emit(&context.log, &events::LISTED_AGAIN, &[]);
             put_on_list(&context, &listing).await;
@@ -301,7 +301,7 @@
 }
 
 async fn put_on_list(context: &Context, listing: &Listing) {
-    while !*context.leaving.borrow() {
+    while !*context.shutting_down.borrow() {
         let Err(error) = context.roster.register(listing).await else {
             return;
         };
--- a/src/node/session.rs
+++ b/src/node/session.rs
@@ -40,12 +40,12 @@
     held: Option<Held>,
     pub status: Status,
     /// The open transaction is gone; everything up to its end is refused.
-    pub lost: bool,
+    pub transaction_lost: bool,
 }
 
 impl Drop for Session {
     fn drop(&mut self) {
-        self.let_go();
+        self.release_connection();
     }
 }
 
@@ -57,7 +57,7 @@
             floors: Floors::new(floor),
             held: None,
             status: Status::Idle,
-            lost: false,
+            transaction_lost: false,
         }
     }
 
@@ -66,17 +66,17 @@
         self.status == Status::Idle && self.held.is_none()
     }
 
-    pub fn is_holding(&self) -> bool {
+    pub fn has_connection(&self) -> bool {
         self.held.is_some()
     }
 
     /// Names the connection that is held, for the next exchange.
-    pub fn lease(&self) -> Option<u64> {
+    pub fn connection_id(&self) -> Option<u64> {
         self.held.as_ref().map(|held| held.id)
     }
 
     /// Gives back what an owner holds; the member rolls back.
-    pub fn let_go(&mut self) {
+    pub fn release_connection(&mut self) {
         let Some(held) = self.held.take() else { return };
         match held.owner {
             None => self.owner.abandon(held.id),
@@ -88,23 +88,23 @@
     }
 
     /// Gives up the open transaction after an error of this box's own.
-    pub fn give_up(&mut self) {
+    pub fn abort_if_in_transaction(&mut self) {
         if self.status != Status::Idle {
-            self.fail();
+            self.abort_transaction();
         }
     }
 
     /// Makes everything fail up to the end of the caller's transaction, whether a
     /// member knows of it or not.
-    pub fn fail(&mut self) {
-        self.let_go();
-        self.lost = true;
+    pub fn abort_transaction(&mut self) {
+        self.release_connection();
+        self.transaction_lost = true;
         self.status = Status::Failed;
     }
 
     /// Takes the end of a transaction that is gone.
-    pub fn end_lost(&mut self) {
-        self.lost = false;
+    pub fn end_lost_transaction(&mut self) {
+        self.transaction_lost = false;
         self.status = Status::Idle;
     }
 
@@ -148,7 +148,7 @@
             return;
         };
         if let (Reason::CutOff | Reason::Stale, Some(turns)) =
-            (refusal.reason, self.context.turns_in())
+            (refusal.reason, self.context.time_until_redirect())
         {
             refusal.retry_after = refusal.retry_after.max(turns);
         }
@@ -165,7 +165,7 @@
         if exchange.effect == Effect::Writes && *failure == Failure::Unknown {
             self.status = Status::Idle;
         }
-        self.give_up();
+        self.abort_if_in_transaction();
         let retry_after = failure.retry_after().as_millis();
         let fields: [(_, &dyn std::fmt::Display); 6] = [
             ("request", &exchange.trace),
@@ -193,7 +193,7 @@
         let owners = self.owners(&exchange.group, exchange.workspace.as_ref());
         let (late, first): (Vec<&Listing>, Vec<&Listing>) = owners
             .iter()
-            .partition(|owner| self.context.is_shunned(&owner.address));
+            .partition(|owner| self.context.is_unresponsive(&owner.address));
         for owner in first.into_iter().chain(late) {
             if !goes(&via, owner) {
                 continue;
@@ -209,18 +209,18 @@
             };
             match served {
                 Ok(reply) => return Ok((reply, (!own).then(|| owner.address.clone()))),
-                Err(ForwardError::Unsent) => self.context.shun(&owner.address),
+                Err(ForwardError::Unsent) => self.context.record_unresponsive(&owner.address),
                 Err(ForwardError::Failure(failure)) => {
                     via = elsewhere(&failure);
                     last = failure;
                 }
                 Err(ForwardError::Lost) if exchange.effect == Effect::Reads => {
-                    self.context.shun(&owner.address);
+                    self.context.record_unresponsive(&owner.address);
                     last = Failure::ReadLost;
                 }
                 Err(ForwardError::Lost) if exchange.once.is_some() => last = Failure::Unknown,
                 Err(ForwardError::Lost) => {
-                    self.context.shun(&owner.address);
+                    self.context.record_unresponsive(&owner.address);
                     return Err(Failure::Unknown);
                 }
             }
--- a/src/platform/callers.rs
+++ b/src/platform/callers.rs
@@ -22,7 +22,7 @@
 use crate::node::entry::Entry;
 use crate::node::exchange::{Effect, Failure, Reply};
 use crate::node::owner::Owner;
-use crate::node::serving::{Intent, Work};
+use crate::node::request::{Intent, Request};
 use crate::node::session::Session;
 use crate::secret;
 
@@ -92,11 +92,11 @@
         return refuse(&mut channel, code::NO_DATABASE, "no such database").await;
     };
     let key: Arc<str> = secret::hash(key).into();
-    if let Err(stranger) = context.caller(&declared, &key) {
+    if let Err(stranger) = context.authenticate(&declared, &key) {
         context.metrics.strangers.add(1, &[]);
         return refuse(&mut channel, code::NO_KEY, &stranger.to_string()).await;
     }
-    if context.is_away_for(context.settings.balancer_turn) {
+    if context.is_not_ready_for(context.settings.balancer_turn) {
         // Refused before READY: closing a started session would look like a lost answer.
         let text = format!(
             "not run: callers are served elsewhere; retry after {} ms",
@@ -187,7 +187,9 @@
         loop {
             // Idle sessions are closed only once the balancer sends no callers to this box, so
             // that they reconnect to another box.
-            let turned_away = self.context.away_for(self.context.settings.balancer_turn);
+            let turned_away = self
+                .context
+                .wait_until_not_ready_for(self.context.settings.balancer_turn);
             let idle = self.open.is_none();
             let line = tokio::select! {
                 biased;
@@ -293,8 +295,8 @@
 
     /// Rolls back and closes the open transaction.
     fn end_transaction(&mut self) {
-        self.session.let_go();
-        self.session.end_lost();
+        self.session.release_connection();
+        self.session.end_lost_transaction();
         self.open = None;
     }
 
@@ -310,7 +312,7 @@
             true => Begin::ReadOnly,
             false => Begin::ReadWrite,
         };
-        let Ok(workspace) = self.context.caller(&database, &self.key) else {
+        let Ok(workspace) = self.context.authenticate(&database, &self.key) else {
             return self.refuse_key();
         };
         self.open = Some(OpenTransaction {
@@ -377,7 +379,7 @@
     /// Returns the caller's workspace. Fails if the key is no longer valid, or belongs to
     /// another workspace than at the start of the open transaction.
     fn check_caller(&self, database: &Database) -> Result<Option<Arc<Workspace>>, Stranger> {
-        let workspace = self.context.caller(database, &self.key)?;
+        let workspace = self.context.authenticate(database, &self.key)?;
         let Some(open) = &self.open else {
             return Ok(workspace);
         };
@@ -392,7 +394,7 @@
     fn refuse_key(&mut self) -> Outcome {
         self.context.metrics.strangers.add(1, &[]);
         if self.open.is_some() {
-            self.session.fail();
+            self.session.abort_transaction();
         }
         Outcome::Error(code::NO_KEY, Stranger.to_string())
     }
@@ -433,7 +435,7 @@
                 return Ok(self.record_outcome(Err(failure), effect, commits));
             }
         }
-        let work = Work {
+        let work = Request {
             database: &database,
             workspace: workspace.as_deref(),
             intent: Intent {
@@ -450,7 +452,7 @@
             payload: Bytes::from(format!("{id} {text}")),
         };
         let served = tokio::select! {
-            served = self.session.work(work) => served,
+            served = self.session.serve_request(work) => served,
             error = self.channel.closed() => return Err(error),
         };
         Ok(self.record_outcome(served, effect, commits))
@@ -480,7 +482,7 @@
             // A commit ends the transaction whatever its outcome.
             self.end_transaction();
         } else if error {
-            self.session.fail();
+            self.session.abort_transaction();
         } else if self.session.status == Status::Idle {
             self.open = None;
         }
--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -64,7 +64,7 @@
     async fn send_command(&self, text: &str) -> Result<Status, MemberError> {
         let mut connection = self
             .pool
-            .take_any(&self.member)
+            .acquire_any(&self.member)
             .await
             .map_err(connect_error)?;
         let payload = Bytes::from(format!("{INTERNAL_ID} {text}"));
@@ -76,7 +76,7 @@
         let answer = connection.run(&task).await.map_err(upstream_error)?;
         let lines = String::from_utf8_lossy(&answer.messages).into_owned();
         let applied = connection.position();
-        self.pool.put(&self.member, connection);
+        self.pool.release(&self.member, connection);
         match answer.verdict {
             Verdict::Done => parse_status(&lines, applied),
             Verdict::Rejection(Rejection::Busy) => Err(MemberError::Busy),
--- a/src/postgres/entry.rs
+++ b/src/postgres/entry.rs
@@ -62,7 +62,7 @@
 
     /// Takes callers until the box leaves.
     async fn accept_all(self: Rc<Self>, listener: TcpListener) -> std::io::Result<()> {
-        let mut leaving = self.context.leaving.clone();
+        let mut leaving = self.context.shutting_down.clone();
         loop {
             let (socket, _) = tokio::select! {
                 accepted = listener.accept() => accepted?,
--- a/src/postgres/session.rs
+++ b/src/postgres/session.rs
@@ -113,7 +113,7 @@
 
     /// Serves the caller until one side ends the connection.
     pub async fn run(&mut self) -> Result<(), ChannelError> {
-        let mut leaving = self.context.leaving.clone();
+        let mut leaving = self.context.shutting_down.clone();
         loop {
             let idle = self.core.is_idle();
             let message = tokio::select! {
@@ -196,7 +196,7 @@
     }
 
     fn parse(&mut self, parse: Parse) -> Result<(), ChannelError> {
-        let class = self.context.classes.of(&parse.query);
+        let class = self.context.classes.classify(&parse.query);
         let statement = shared_statement(&parse.query, parse.type_oids);
         let named = Named {
             statement: statement.clone(),
@@ -247,11 +247,11 @@
         if self.skipping {
             self.skipping = false;
             self.batch = Batch::default();
-            if !self.core.is_holding() {
+            if !self.core.has_connection() {
                 return self.ready().await;
             }
         }
-        if self.batch.steps.is_empty() && !self.core.is_holding() {
+        if self.batch.steps.is_empty() && !self.core.has_connection() {
             return self.ready().await;
         }
         self.close(Close::Sync).await
@@ -260,7 +260,7 @@
     // Simple protocol.
 
     async fn simple(&mut self, sql: String) -> Result<(), ChannelError> {
-        let class = self.context.classes.of(&sql);
+        let class = self.context.classes.classify(&sql);
         if self.core.status == Status::Idle && class.kind == Kind::Session {
             return self.command(&class.command).await;
         }
@@ -361,7 +361,7 @@
 
     async fn close(&mut self, close: Close) -> Result<(), ChannelError> {
         let batch = std::mem::take(&mut self.batch);
-        if self.core.lost {
+        if self.core.transaction_lost {
             return self.refuse_lost(&batch, close).await;
         }
         let (exchange, scope) = match self.exchange(batch, close) {
@@ -392,7 +392,9 @@
             .groups
             .get(&self.group)
             .ok_or_else(|| Report::fatal("3D000", "this database group is no longer declared"))?;
-        let class = batch.class.unwrap_or_else(|| self.context.classes.of(""));
+        let class = batch
+            .class
+            .unwrap_or_else(|| self.context.classes.classify(""));
         if let Command::Refuse { what } = class.command {
             return Err(unsupported(what));
         }
@@ -422,7 +424,7 @@
             flow: None,
             aim: None,
             trace: "".into(),
-            lease: self.core.lease(),
+            lease: self.core.connection_id(),
             setup: Setup::default(),
             on_primary: false,
             payload: Steps {
@@ -471,7 +473,7 @@
                 let hint = "send /* larkfall: once=KEY */ or SET larkfall.once = 'KEY' before it";
                 Err(Report::error(state::KEY_MISSING, message).hint(hint))
             }
-            (Some(_), _) if self.core.status != Status::Idle || self.core.is_holding() => {
+            (Some(_), _) if self.core.status != Status::Idle || self.core.has_connection() => {
                 let message = "a request with a key can't be part of a larger transaction";
                 Err(Report::error(state::UNSUPPORTED, message))
             }
@@ -511,7 +513,7 @@
                 .fail(&Report::error("25P02", message), Some(close))
                 .await;
         }
-        self.core.end_lost();
+        self.core.end_lost_transaction();
         let bytes = self.ended_answer(batch)?;
         self.channel.queue_bytes(&bytes);
         self.ready().await
@@ -548,7 +550,7 @@
     /// skipped; an open transaction is given up, as a database would.
     async fn fail(&mut self, report: &Report, close: Option<Close>) -> Result<(), ChannelError> {
         self.batch = Batch::default();
-        self.core.give_up();
+        self.core.abort_if_in_transaction();
         self.channel.queue_back(&report.message())?;
         match close {
             Some(Close::Query | Close::Sync) => self.ready().await,
