--- a/src/node/context.rs
+++ b/src/node/context.rs
@@ -1,4 +1,4 @@
-//! What is handed down to every part of a box.
+//! State shared by all tasks of a box.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,14 +23,13 @@
 use crate::http::Client;
 use crate::metrics::Metrics;
 
-/// Time for which a peer that did not answer is asked last: a restart takes one or two
-/// seconds, a cut several.
-const SHUN: Duration = Duration::from_secs(2);
+/// Time for which a peer that didn't answer is tried last, about as long as a restart.
+const UNRESPONSIVE_COOLDOWN: Duration = Duration::from_secs(2);
 
-/// One per box, shared by all its tasks.
+/// The shared state. There is one context per box.
 pub struct Context {
     pub settings: Run,
-    /// What may change of them while the box runs.
+    /// Settings that can change while the box runs.
     pub live: watch::Receiver<Arc<Live>>,
     pub log: Logger,
     pub metrics: Rc<Metrics>,
@@ -39,35 +38,35 @@
     pub table: Rc<dyn Table>,
     pub roster: Rc<dyn Roster>,
     pub client: Client,
-    /// The way to the loop that owns the decisions.
+    /// Sends messages to the driver.
     pub decisions: Sender,
     pub snapshot: watch::Receiver<Arc<Snapshot>>,
     pub boxes: watch::Receiver<Arc<[Listing]>>,
-    /// True from the moment the box leaves.
+    /// Whether the box is shutting down.
     pub shutting_down: watch::Receiver<bool>,
     pub classes: Classes,
     pub routes: Routes,
-    /// Limits on the workspaces' operations.
+    /// Rate limits of workspaces.
     pub limits: Limits,
-    /// Connections to members that nobody uses now.
+    /// Number of idle connections to members.
     pub idle_connections: Cell<usize>,
     /// This box's share of the connections to each member of its groups, by address.
     pub connection_shares: watch::Sender<HashMap<Arc<str>, usize>>,
-    /// Peers that did not answer, and until when they are asked last.
+    /// Peers that didn't answer, with the time until which they are tried last.
     pub unresponsive_peers: RefCell<HashMap<Arc<str>, Duration>>,
-    /// Callers connected now.
+    /// Number of connected callers.
     pub callers: Cell<usize>,
-    /// When the box began to leave, or was cut off: callers are better served elsewhere.
+    /// Since when the box is not ready, because it is shutting down or partitioned.
     pub not_ready_since: watch::Sender<Option<Duration>>,
-    /// A ballot of this box is under way.
+    /// Whether this box has a ballot under way to replace a primary.
     pub deposing: Cell<bool>,
-    /// Whether the box has found out if it is cut off.
+    /// Whether the box has determined if it is partitioned.
     pub partition_known: watch::Sender<bool>,
-    /// How the table is read.
+    /// How this box polls the table.
     pub polling: Cell<Polling>,
 }
 
-/// Counts a caller for as long as it is connected.
+/// Counts one caller as connected until the guard is dropped.
 pub struct Caller(Rc<Context>);
 
 impl Caller {
@@ -88,26 +87,27 @@
         self.clock.now()
     }
 
-    /// A peer did not answer: others go first for a while.
+    /// Records that a peer didn't answer, so that others are tried first for a while.
     pub fn record_unresponsive(&self, peer: &Arc<str>) {
-        let until = self.now() + SHUN;
+        let until = self.now() + UNRESPONSIVE_COOLDOWN;
         self.unresponsive_peers
             .borrow_mut()
             .insert(peer.clone(), until);
     }
 
+    /// Whether a peer didn't answer lately.
     pub fn is_unresponsive(&self, peer: &str) -> bool {
         let until = self.unresponsive_peers.borrow().get(peer).copied();
         until.is_some_and(|until| self.now() < until)
     }
 
-    /// The database that callers name so.
+    /// Returns the database with the name that callers use.
     pub fn database(&self, name: &str) -> Option<Arc<Database>> {
         self.snapshot.borrow().databases.get(name).cloned()
     }
 
-    /// The workspace that calls a database with a key of this digest; none where the
-    /// database asks for no key.
+    /// Returns the workspace to which the key with the digest `key` belongs, or none if the
+    /// database requires no key.
     pub fn authenticate(
         &self,
         database: &Database,
@@ -116,42 +116,42 @@
         self.snapshot.borrow().caller(database, key)
     }
 
-    /// Whether callers have been better served elsewhere for so long.
-    pub fn is_not_ready_for(&self, rest: Duration) -> bool {
+    /// Whether the box has not been ready for this long.
+    pub fn is_not_ready_for(&self, duration: Duration) -> bool {
         let since = *self.not_ready_since.borrow();
-        since.is_some_and(|since| self.now() >= since + rest)
+        since.is_some_and(|since| self.now() >= since + duration)
     }
 
-    /// Time until callers of a box that said it is not ready are expected to be sent
-    /// elsewhere; none where it is ready, or that time is over.
+    /// Returns the time until the load balancer is expected to send callers to other boxes. None
+    /// if this box is ready, or if the time has passed.
     pub fn time_until_redirect(&self) -> Option<Duration> {
         let since = (*self.not_ready_since.borrow())?;
-        let turned = since + self.settings.balancer_notice;
-        turned
+        let redirect = since + self.settings.balancer_notice;
+        redirect
             .checked_sub(self.now())
             .filter(|left| !left.is_zero())
     }
 
-    /// Returns when callers have been better served elsewhere for so long.
-    pub async fn wait_until_not_ready_for(&self, rest: Duration) {
-        let mut away = self.not_ready_since.subscribe();
+    /// Waits until the box has not been ready for this long.
+    pub async fn wait_until_not_ready_for(&self, duration: Duration) {
+        let mut not_ready_since = self.not_ready_since.subscribe();
         loop {
-            let since = *away.borrow_and_update();
-            let changed = away.changed();
+            let since = *not_ready_since.borrow_and_update();
+            let changed = not_ready_since.changed();
             let Some(since) = since else {
                 if changed.await.is_err() {
                     return std::future::pending().await;
                 }
                 continue;
             };
-            let left = (since + rest).saturating_sub(self.now());
+            let left = (since + duration).saturating_sub(self.now());
             if tokio::time::timeout(left, changed).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Time without a statement after which a group's open transaction is ended.
+    /// Returns how long a group's open transaction may be idle before it is rolled back.
     pub fn idle_transaction_timeout(&self, group: &str) -> Duration {
         let snapshot = self.snapshot.borrow();
         let declared = snapshot
@@ -161,7 +161,7 @@
         declared.map_or(self.settings.lease_idle, Duration::from_millis)
     }
 
-    /// The box's own entry in the list of boxes.
+    /// Returns the address of this box's API, as other boxes have it in their list.
     pub fn own_api_address(&self) -> String {
         format!("{}:{}", self.settings.ip, self.settings.api_port)
     }
--- a/src/node/session.rs
+++ b/src/node/session.rs
@@ -1,5 +1,8 @@
-//! One caller's session, whatever protocol it speaks: where its statements run,
-//! what it must not miss, and the connection that an owner holds for it.
+//! A caller's session, independent of the caller's protocol.
+//!
+//! A session sends its exchanges to an owner of the group, keeps the floors that its reads must
+//! see, and tracks its open transaction together with the connection that an owner has pinned for
+//! it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,27 +22,27 @@
 use crate::decisions::position::Position;
 use crate::events;
 
-/// Time to come back when no owner of the group can be reached.
-const OWNERS_RETRY: Duration = Duration::from_secs(1);
+/// Retry time for the caller if no owner of the group can be reached.
+const NO_OWNER_RETRY: Duration = Duration::from_secs(1);
 
-/// A connection that an owner holds for this session.
-struct Held {
+/// A connection that an owner has pinned for this session.
+struct Pinned {
     /// The owner's address, none for this box.
     owner: Option<Arc<str>>,
     id: u64,
 }
 
-/// A reply and the address of the owner that gave it, none for this box.
+/// A reply, and the address of the owner that served it, none for this box.
 type Served = (Reply, Option<Arc<str>>);
 
-/// A session of the core. Dropped, it gives back what is held for it.
+/// A session. Releases its pinned connection when it is dropped.
 pub struct Session {
     pub context: Rc<Context>,
     owner: Rc<Owner>,
     pub floors: Floors,
-    held: Option<Held>,
+    pinned: Option<Pinned>,
     pub status: Status,
-    /// The open transaction is gone; everything up to its end is refused.
+    /// Whether the open transaction was lost. All statements up to its end are then refused.
     pub transaction_lost: bool,
 }
 
@@ -55,113 +58,123 @@
             context,
             owner,
             floors: Floors::new(floor),
-            held: None,
+            pinned: None,
             status: Status::Idle,
             transaction_lost: false,
         }
     }
 
-    /// Whether nothing of the session stands open anywhere.
+    /// Whether the session has neither an open transaction nor a pinned connection.
     pub fn is_idle(&self) -> bool {
-        self.status == Status::Idle && self.held.is_none()
+        self.status == Status::Idle && self.pinned.is_none()
     }
 
+    /// Whether an owner has pinned a connection for the session.
     pub fn has_connection(&self) -> bool {
-        self.held.is_some()
+        self.pinned.is_some()
     }
 
-    /// Names the connection that is held, for the next exchange.
+    /// Returns the owner's id of the pinned connection.
     pub fn connection_id(&self) -> Option<u64> {
-        self.held.as_ref().map(|held| held.id)
+        self.pinned.as_ref().map(|pinned| pinned.id)
     }
 
-    /// Gives back what an owner holds; the member rolls back.
+    /// Releases the pinned connection. The owner rolls its transaction back.
     pub fn release_connection(&mut self) {
-        let Some(held) = self.held.take() else { return };
-        match held.owner {
-            None => self.owner.abandon(held.id),
+        let Some(pinned) = self.pinned.take() else {
+            return;
+        };
+        match pinned.owner {
+            None => self.owner.abandon(pinned.id),
             Some(address) => {
-                let abandoned = peers::abandon(self.context.clone(), address, held.id);
+                let abandoned = peers::abandon(self.context.clone(), address, pinned.id);
                 tokio::task::spawn_local(abandoned);
             }
         }
     }
 
-    /// Gives up the open transaction after an error of this box's own.
+    /// Aborts the open transaction, if there is one, after an error that no member reported.
     pub fn abort_if_in_transaction(&mut self) {
         if self.status != Status::Idle {
             self.abort_transaction();
         }
     }
 
-    /// Makes everything fail up to the end of the caller's transaction, whether a
-    /// member knows of it or not.
+    /// Makes all statements fail up to the end of the caller's transaction, even if no member
+    /// has begun it yet.
     pub fn abort_transaction(&mut self) {
         self.release_connection();
         self.transaction_lost = true;
         self.status = Status::Failed;
     }
 
-    /// Takes the end of a transaction that is gone.
+    /// Ends a lost transaction on the caller's request.
     pub fn end_lost_transaction(&mut self) {
         self.transaction_lost = false;
         self.status = Status::Idle;
     }
 
-    /// Has an exchange served and keeps the session's state by its outcome.
+    /// Serves an exchange and updates the session with its outcome.
     pub async fn serve(&mut self, exchange: &Exchange, scope: &Scope) -> Result<Reply, Failure> {
         let start = self.context.now();
-        let served = self.attempt(exchange).await;
+        let served = self.try_owners(exchange).await;
         let took = self.context.now() - start;
         let outcome = served.as_ref().map_or_else(Failure::reason, |_| "served");
         self.context.metrics.answered(outcome, scope, took);
         match served {
             Ok((reply, owner)) => {
-                self.took(&reply, owner, exchange, scope);
+                self.record_reply(&reply, owner, exchange, scope);
                 Ok(reply)
             }
             Err(mut failure) => {
-                self.send_elsewhere(&mut failure);
-                self.failed(&failure, exchange, took);
+                self.extend_retry_time(&mut failure);
+                self.record_failure(&failure, exchange, took);
                 Err(failure)
             }
         }
     }
 
-    fn took(&mut self, reply: &Reply, owner: Option<Arc<str>>, exchange: &Exchange, scope: &Scope) {
-        self.count(reply, exchange, scope);
-        self.held = reply.lease.map(|id| Held { owner, id });
+    fn record_reply(
+        &mut self,
+        reply: &Reply,
+        owner: Option<Arc<str>>,
+        exchange: &Exchange,
+        scope: &Scope,
+    ) {
+        self.count_reply(reply, exchange, scope);
+        self.pinned = reply.lease.map(|id| Pinned { owner, id });
         if !reply.believed {
             let log = &self.context.log;
             events::emit(log, &events::TOKEN_IGNORED, &[("group", &exchange.group)]);
             self.floors.reset();
         }
-        self.note_floors(reply, exchange, scope);
+        self.update_floors(reply, exchange, scope);
         if let Some(status) = reply.status {
             self.status = status;
         }
     }
 
-    /// Tells a caller whom a cut box can't serve to come back once it is sent elsewhere.
-    fn send_elsewhere(&self, failure: &mut Failure) {
+    /// Extends the retry time of a failure caused by a partition until the load balancer is
+    /// expected to send the caller to another box.
+    fn extend_retry_time(&self, failure: &mut Failure) {
         let Failure::NotRun(refusal) = failure else {
             return;
         };
-        if let (Reason::CutOff | Reason::Stale, Some(turns)) =
+        if let (Reason::CutOff | Reason::Stale, Some(redirect)) =
             (refusal.reason, self.context.time_until_redirect())
         {
-            refusal.retry_after = refusal.retry_after.max(turns);
+            refusal.retry_after = refusal.retry_after.max(redirect);
         }
     }
 
-    fn failed(&mut self, failure: &Failure, exchange: &Exchange, took: Duration) {
+    fn record_failure(&mut self, failure: &Failure, exchange: &Exchange, took: Duration) {
         if let Failure::NotRun(_) = failure {
             self.context.metrics.not_run.add(1, &[]);
         }
         if failure.speaks_for_cut() {
             let _ = self.context.decisions.send(Message::Refused);
         }
-        self.held = None;
+        self.pinned = None;
         if exchange.effect == Effect::Writes && *failure == Failure::Unknown {
             self.status = Status::Idle;
         }
@@ -178,46 +191,51 @@
         events::emit(&self.context.log, &events::GIVEN_UP, &fields);
     }
 
-    /// Has the exchange served by an owner: the one that holds our connection,
-    /// this box, or the others in turn.
-    async fn attempt(&mut self, exchange: &Exchange) -> Result<Served, Failure> {
-        if let Some(held) = self.held.take() {
-            return match held.owner {
+    /// Sends an exchange to the owner of the pinned connection. Without one, tries the group's
+    /// owners in order, those that didn't answer lately last.
+    async fn try_owners(&mut self, exchange: &Exchange) -> Result<Served, Failure> {
+        if let Some(pinned) = self.pinned.take() {
+            return match pinned.owner {
                 None => self.owner.serve(exchange).await.map(|reply| (reply, None)),
-                Some(address) => self.forward_held(&address, exchange).await,
+                Some(address) => self.forward_pinned(&address, exchange).await,
             };
         }
-        let mut last = Failure::NotRun(Refusal::new(Reason::CutOff, OWNERS_RETRY));
+        let mut last = Failure::NotRun(Refusal::new(Reason::CutOff, NO_OWNER_RETRY));
         let start = self.context.now();
         let mut via = Via::Owner;
         let owners = self.owners(&exchange.group, exchange.workspace.as_ref());
-        let (late, first): (Vec<&Listing>, Vec<&Listing>) = owners
+        let (unresponsive, responsive): (Vec<&Listing>, Vec<&Listing>) = owners
             .iter()
             .partition(|owner| self.context.is_unresponsive(&owner.address));
-        for owner in first.into_iter().chain(late) {
-            if !goes(&via, owner) {
+        for owner in responsive.into_iter().chain(unresponsive) {
+            if !matches_via(&via, owner) {
                 continue;
             }
-            let spent = self.context.now() - start;
-            let Some(rest) = exchange.after(spent) else {
+            let elapsed = self.context.now() - start;
+            let Some(remaining) = exchange.after(elapsed) else {
                 break;
             };
-            let own = owner.name == self.context.settings.name;
-            let served = match own {
-                true => self.owner.serve(&rest).await.map_err(ForwardError::Failure),
-                false => peers::forward(&self.context, &owner.address, &rest).await,
+            let local = owner.name == self.context.settings.name;
+            let served = match local {
+                true => self
+                    .owner
+                    .serve(&remaining)
+                    .await
+                    .map_err(ForwardError::Failure),
+                false => peers::forward(&self.context, &owner.address, &remaining).await,
             };
             match served {
-                Ok(reply) => return Ok((reply, (!own).then(|| owner.address.clone()))),
+                Ok(reply) => return Ok((reply, (!local).then(|| owner.address.clone()))),
                 Err(ForwardError::Unsent) => self.context.record_unresponsive(&owner.address),
                 Err(ForwardError::Failure(failure)) => {
-                    via = elsewhere(&failure);
+                    via = next_via(&failure);
                     last = failure;
                 }
                 Err(ForwardError::Lost) if exchange.effect == Effect::Reads => {
                     self.context.record_unresponsive(&owner.address);
                     last = Failure::ReadLost;
                 }
+                // The ledger prevents a second run at the next owner.
                 Err(ForwardError::Lost) if exchange.once.is_some() => last = Failure::Unknown,
                 Err(ForwardError::Lost) => {
                     self.context.record_unresponsive(&owner.address);
@@ -228,7 +246,7 @@
         Err(last)
     }
 
-    async fn forward_held(
+    async fn forward_pinned(
         &self,
         address: &Arc<str>,
         exchange: &Exchange,
@@ -241,7 +259,7 @@
         }
     }
 
-    /// Owners of a group, in the order in which this box tries them.
+    /// Returns the owners of a group, in the order in which this session tries them.
     fn owners(&self, group: &Arc<str>, workspace: Option<&Arc<str>>) -> Rc<[Listing]> {
         let context = &self.context;
         let snapshot = context.snapshot.borrow().clone();
@@ -254,7 +272,7 @@
         }
     }
 
-    fn count(&self, reply: &Reply, exchange: &Exchange, scope: &Scope) {
+    fn count_reply(&self, reply: &Reply, exchange: &Exchange, scope: &Scope) {
         let metrics = &self.context.metrics;
         if exchange.effect == Effect::Writes {
             return metrics.writes.add(1, &[]);
@@ -267,8 +285,8 @@
         }
     }
 
-    /// Raises the floors by what was read or written.
-    fn note_floors(&mut self, reply: &Reply, exchange: &Exchange, scope: &Scope) {
+    /// Raises the floors to the position that the exchange read or wrote.
+    fn update_floors(&mut self, reply: &Reply, exchange: &Exchange, scope: &Scope) {
         if exchange.effect == Effect::Writes {
             self.floors.record_pending_write(scope);
         }
@@ -289,8 +307,8 @@
     }
 }
 
-/// Which other owner may do better.
-fn elsewhere(failure: &Failure) -> Via {
+/// Returns which owners may be able to serve the exchange after a failure at one.
+fn next_via(failure: &Failure) -> Via {
     match failure {
         Failure::NotOwner => Via::Owner,
         Failure::NotRun(refusal) => refusal.via.clone(),
@@ -298,8 +316,8 @@
     }
 }
 
-/// Whether an owner is one of those that may do better.
-fn goes(via: &Via, owner: &Listing) -> bool {
+/// Whether `via` includes an owner.
+fn matches_via(via: &Via, owner: &Listing) -> bool {
     match via {
         Via::Nobody => false,
         Via::Owner => true,
