--- a/src/node/once.rs
+++ b/src/node/once.rs
@@ -1,9 +1,9 @@
-//! Requests that run at most once, by the caller's key.
+//! Runs requests with an idempotency key at most once.
 //!
-//! The key goes into a ledger table of the same group in the same transaction as
-//! the request. Whoever comes second, on any box and after any crash, finds the
-//! key and gets the recorded answer. An outcome that is unknown is settled by
-//! trying again on whatever primary there is: the key is found or it is not.
+//! The key is written to a ledger table of the group, in the same transaction as the request. A
+//! repeated request, on any box and after any crash, finds the key and gets the recorded answer.
+//! After an unknown outcome, the request is retried on the current primary, where the ledger
+//! shows whether it has run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,10 +17,9 @@
 use crate::decisions::confirmation::Outcome;
 use crate::decisions::group::Target;
 
-/// Time between two attempts.
-const PAUSE: Duration = Duration::from_millis(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs the exchange unless its key is taken; then gives the recorded answer.
+/// Runs the exchange, or returns the recorded answer if its key is in the ledger.
 pub async fn serve(
     owner: &Owner,
     exchange: &Exchange,
@@ -32,7 +31,7 @@
         let placed = owner.place(exchange, Target::Primary, deadline).await;
         let place = match placed {
             Ok(place) => place,
-            // Not run is only true while no attempt was sent.
+            // An earlier attempt may have run.
             Err(_) if sent => return Err(Failure::Unknown),
             Err(failure) => return Err(failure),
         };
@@ -42,7 +41,7 @@
             Err(_) => Keyed::Unresolved,
             Ok(connection) => {
                 sent = true;
-                attempt(owner, &place, connection, exchange, key).await
+                run(owner, &place, connection, exchange, key).await
             }
         };
         drop(place);
@@ -62,10 +61,10 @@
                 return Ok(reply(answer, server, false));
             }
         }
-        if owner.context.now() + PAUSE > deadline {
+        if owner.context.now() + RETRY_INTERVAL > deadline {
             return Err(Failure::Unknown);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
@@ -81,7 +80,8 @@
     }
 }
 
-async fn attempt(
+/// Runs the exchange on a connection, unless the primary is replaced first.
+async fn run(
     owner: &Owner,
     place: &Place,
     mut connection: Connection,
--- a/src/node/pool.rs
+++ b/src/node/pool.rs
@@ -1,10 +1,9 @@
-//! Open connections to members, between the statements that use them.
+//! Pools idle connections to members.
 //!
-//! Each box keeps its share of a member's connections open. Above the share,
-//! connections are opened when statements need them and closed after a rest, so
-//! that a burst at one box may use what others leave. A connection that was opened for a
-//! workspace serves no other one: where the share is used up, a new one takes the place
-//! of the one that rested longest.
+//! Each box keeps its share of a member's connections open. Above the share, connections are
+//! opened on demand and closed after an idle time, so that a burst at one box can use connections
+//! that other boxes leave unused. A connection opened for a workspace serves no other workspace:
+//! if the share is used up, a new connection replaces the one that has been idle longest.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,29 +16,29 @@
 use crate::borders::upstream::{ConnectError, Dialer, Upstream};
 use crate::declarations::resource::Member;
 
-/// A connection above the share is closed when it was not used for this long: a
-/// few handshakes' worth, so that a burst does not open the same ones again.
-const SPARE_REST: Duration = Duration::from_millis(1_500);
+/// Idle time after which a connection above the share is closed: longer than a few handshakes,
+/// so that a burst doesn't reopen the same connections.
+const SPARE_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// An open connection to a member, and for whom it was opened: members are told so once,
-/// so that it never serves anyone else.
+/// An open connection to a member. The member learns the workspace once, when the connection is
+/// opened, so the connection must never serve another one.
 pub struct Connection {
     inner: Box<dyn Upstream>,
     workspace: Option<Arc<str>>,
-    _counted: Counted,
+    _open_guard: OpenGuard,
 }
 
 /// Counts a connection as open, from the moment it is dialled.
-struct Counted(Rc<Cell<usize>>);
+struct OpenGuard(Rc<Cell<usize>>);
 
-impl Counted {
+impl OpenGuard {
     fn new(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
         Self(open.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -62,48 +61,49 @@
 struct Idle {
     connection: Connection,
     since: Duration,
-    /// Start of the member to which it leads.
-    born: Option<u64>,
+    /// When the member at the other end was started.
+    member_started: Option<u64>,
 }
 
 impl Idle {
-    fn is_nobodys(&self) -> bool {
+    fn has_no_workspace(&self) -> bool {
         self.connection.workspace.is_none()
     }
 }
 
 /// Connections to one address.
 #[derive(Default)]
-struct Line {
-    /// Least lately used first.
+struct Endpoint {
+    /// Idle connections, least recently used first.
     idle: Vec<Idle>,
-    /// How many are open, those in use included.
+    /// Number of open connections, including those in use.
     open: Rc<Cell<usize>>,
-    /// How many may stay open without use; none before it is known. Workspaces do not keep
-    /// more: a member resets what is above its connections, and with the whole of them in
-    /// use mean worth over five days was 0.781 in place of 0.790, although 72 and not 84 of
-    /// 100 requests opened one.
+    /// Number of connections that may stay open while idle; none until it is known. Workspaces
+    /// don't raise it, since a member resets connections above its limit.
     share: Option<usize>,
 }
 
-impl Line {
-    /// Makes room for a connection of a workspace: where the share is used up, the one that
-    /// rested longest gives way, those of nobody in particular first.
-    fn make_room(&mut self) {
+impl Endpoint {
+    /// Closes idle connections while the share is used up, to open one for a workspace.
+    /// Connections without a workspace go first, then the least recently used ones.
+    fn evict(&mut self) {
         let Some(share) = self.share else { return };
         while self.open.get() >= share && !self.idle.is_empty() {
-            let gives_way = self.idle.iter().position(Idle::is_nobodys).unwrap_or(0);
-            self.idle.remove(gives_way);
+            let evicted = self
+                .idle
+                .iter()
+                .position(Idle::has_no_workspace)
+                .unwrap_or(0);
+            self.idle.remove(evicted);
         }
     }
 
-    /// Closes those above the share that rested.
+    /// Sets the share, and closes the connections above it that have been idle for long.
     fn trim(&mut self, share: usize, now: Duration) {
         self.share = Some(share);
-        // The first ones were used least lately.
         let spare = self.idle.len().saturating_sub(share);
-        let rested = |idle: &&Idle| now > idle.since + SPARE_REST;
-        let closed = self.idle.iter().take(spare).take_while(rested).count();
+        let expired = |idle: &&Idle| now > idle.since + SPARE_IDLE_TIMEOUT;
+        let closed = self.idle.iter().take(spare).take_while(expired).count();
         self.idle.drain(..closed);
     }
 }
@@ -112,7 +112,7 @@
 pub struct Pool {
     dialer: Rc<dyn Dialer>,
     clock: Rc<dyn Clock>,
-    lines: RefCell<HashMap<Arc<str>, Line>>,
+    endpoints: RefCell<HashMap<Arc<str>, Endpoint>>,
 }
 
 impl Pool {
@@ -120,89 +120,89 @@
         Self {
             dialer,
             clock,
-            lines: RefCell::default(),
+            endpoints: RefCell::default(),
         }
     }
 
-    /// A workspace's idle connection, or a new one. Without a workspace, one that was opened
-    /// for nobody in particular.
+    /// Returns an idle connection of the workspace, or opens one. Without a workspace, returns
+    /// one that was opened without a workspace.
     pub async fn acquire(
         &self,
         member: &Member,
         workspace: Option<&Arc<str>>,
     ) -> Result<Connection, ConnectError> {
         let fits = |idle: &Idle| idle.connection.workspace.as_ref() == workspace;
-        if let Some(known) = self.take_idle(member, fits) {
-            return Ok(known);
+        if let Some(connection) = self.take_idle(member, fits) {
+            return Ok(connection);
         }
-        let counted = {
-            let mut lines = self.lines.borrow_mut();
-            let line = lines.entry(member.address.sql.clone()).or_default();
+        let open_guard = {
+            let mut endpoints = self.endpoints.borrow_mut();
+            let endpoint = endpoints.entry(member.address.sql.clone()).or_default();
             if workspace.is_some() {
-                line.make_room();
+                endpoint.evict();
             }
-            Counted::new(&line.open)
+            OpenGuard::new(&endpoint.open)
         };
         let name = workspace.map(|name| &**name);
         Ok(Connection {
             inner: self.dialer.connect(member, name).await?,
             workspace: workspace.cloned(),
-            _counted: counted,
+            _open_guard: open_guard,
         })
     }
 
-    /// Any idle connection, or a new one: for what a box says to a member by itself.
+    /// Returns any idle connection, or opens one, for the box's own commands to a member.
     pub async fn acquire_any(&self, member: &Member) -> Result<Connection, ConnectError> {
         match self.take_idle(member, |_| true) {
-            Some(known) => Ok(known),
+            Some(connection) => Ok(connection),
             None => self.acquire(member, None).await,
         }
     }
 
-    /// The most lately used idle connection of those that fit.
+    /// Takes the most recently used idle connection of those that fit.
     fn take_idle(&self, member: &Member, fits: impl Fn(&Idle) -> bool) -> Option<Connection> {
-        let mut lines = self.lines.borrow_mut();
-        let idle = &mut lines.get_mut(&member.address.sql)?.idle;
-        while let Some(place) = idle.iter().rposition(&fits) {
-            let mut known = idle.remove(place);
-            // One to an earlier start may be silent for good: a crash behind a cut says
-            // nothing.
-            if known.born == member.born && known.connection.is_reusable() {
-                return Some(known.connection);
+        let mut endpoints = self.endpoints.borrow_mut();
+        let idle = &mut endpoints.get_mut(&member.address.sql)?.idle;
+        while let Some(index) = idle.iter().rposition(&fits) {
+            let mut found = idle.remove(index);
+            // A connection to an earlier start of the member may look open but never answer: a
+            // member that crashes during a partition can't close it.
+            if found.member_started == member.born && found.connection.is_reusable() {
+                return Some(found.connection);
             }
         }
         None
     }
 
-    /// Takes back a connection whose last answer came whole.
+    /// Returns a connection to the pool. Its last answer must have been read to the end.
     pub fn release(&self, member: &Member, mut connection: Connection) {
         if !connection.is_reusable() {
             return;
         }
         let since = self.clock.now();
-        let mut lines = self.lines.borrow_mut();
-        let line = lines.entry(member.address.sql.clone()).or_default();
-        line.idle.push(Idle {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let endpoint = endpoints.entry(member.address.sql.clone()).or_default();
+        endpoint.idle.push(Idle {
             connection,
             since,
-            born: member.born,
+            member_started: member.born,
         });
     }
 
-    /// Closes connections to members that are no longer there, and those above the
-    /// share that rested. `shares` gives the share of each member's address.
+    /// Closes idle connections to addresses that are not in `shares`, and those above an
+    /// address's share that have been idle for long.
     pub fn trim(&self, shares: &HashMap<Arc<str>, usize>) {
         let now = self.clock.now();
-        let mut lines = self.lines.borrow_mut();
-        lines.retain(|address, _| shares.contains_key(address));
-        for (address, line) in lines.iter_mut() {
-            line.trim(shares[address], now);
+        let mut endpoints = self.endpoints.borrow_mut();
+        endpoints.retain(|address, _| shares.contains_key(address));
+        for (address, endpoint) in endpoints.iter_mut() {
+            endpoint.trim(shares[address], now);
         }
     }
 
-    /// Connections that nobody uses now.
+    /// Returns the number of idle connections.
     pub fn idle_count(&self) -> usize {
-        let lines = self.lines.borrow();
-        lines.values().map(|line| line.idle.len()).sum()
+        let endpoints = self.endpoints.borrow();
+        endpoints.values().map(|endpoint| endpoint.idle.len()).sum()
     }
 }
--- a/src/node/request.rs
+++ b/src/node/request.rs
@@ -1,5 +1,7 @@
-//! Statements on a declared database: what its declaration says of where they run,
-//! how fresh their data is, and how long they may take.
+//! Statements on declared databases.
+//!
+//! A database's declaration determines where its statements run, how old their data may be, and
+//! how long they may take.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,57 +17,59 @@
 use crate::declarations::resource::{Access, Database, Workspace};
 use crate::declarations::snapshot::group_id;
 
-/// Part of a statement's time kept for the way back to its caller.
-const WAY_BACK: Duration = Duration::from_millis(40);
+/// Part of a statement's timeout reserved for returning its answer to the caller.
+const RESPONSE_RESERVE: Duration = Duration::from_millis(40);
 
-/// Priorities from here on weigh the same; each one before weighs twice as much.
+/// Highest priority number with a weight of its own. Each number below doubles the weight.
 const LAST_PRIORITY: u64 = 4;
 
 /// What a statement is meant to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Intent {
     pub effect: Effect,
-    /// Ends its transaction.
+    /// Whether the statement ends its transaction.
     pub commits: bool,
-    /// The transaction it is part of.
+    /// Access mode of the transaction that the statement is part of.
     pub transaction: Option<Begin>,
 }
 
-/// A statement as a codec hands it over.
+/// A statement on a declared database.
 pub struct Request<'a> {
     pub database: &'a Database,
-    /// Whose it is, where callers need a key.
+    /// The caller's workspace, if the database requires a key.
     pub workspace: Option<&'a Workspace>,
     pub intent: Intent,
-    /// Names it in logs.
+    /// The request's id in logs.
     pub trace: Arc<str>,
     pub setup: Setup,
     pub payload: Bytes,
 }
 
 impl Session {
-    /// Has a statement served as its database's declaration says.
-    pub async fn serve_request(&mut self, work: Request<'_>) -> Result<Reply, Failure> {
-        let scope = scope(work.database, &work.intent);
-        let time = Duration::from_millis(work.database.timeout_ms);
-        let time = time.saturating_sub(WAY_BACK).max(WAY_BACK);
+    /// Serves a statement according to the declaration of its database.
+    pub async fn serve_request(&mut self, request: Request<'_>) -> Result<Reply, Failure> {
+        let scope = scope(request.database, &request.intent);
+        let timeout = Duration::from_millis(request.database.timeout_ms);
+        let timeout = timeout
+            .saturating_sub(RESPONSE_RESERVE)
+            .max(RESPONSE_RESERVE);
         let exchange = Exchange {
-            group: group_id(&work.database.partner, &work.database.group),
-            trace: work.trace,
-            target: target(work.database, &work.intent),
-            effect: work.intent.effect,
-            commits: work.intent.commits,
-            floor: self.floor(work.database, &scope),
-            patience: time,
-            limit: Some(time),
-            flow: Some(flow(work.database)),
-            aim: Some(Duration::from_millis(work.database.target_ms)),
+            group: group_id(&request.database.partner, &request.database.group),
+            trace: request.trace,
+            target: target(request.database, &request.intent),
+            effect: request.intent.effect,
+            commits: request.intent.commits,
+            floor: self.floor(request.database, &scope),
+            patience: timeout,
+            limit: Some(timeout),
+            flow: Some(flow(request.database)),
+            aim: Some(Duration::from_millis(request.database.target_ms)),
             lease: self.connection_id(),
-            setup: work.setup,
-            payload: work.payload,
-            on_primary: work.intent.transaction == Some(Begin::ReadWrite),
+            setup: request.setup,
+            payload: request.payload,
+            on_primary: request.intent.transaction == Some(Begin::ReadWrite),
             once: None,
-            workspace: work.workspace.map(|workspace| workspace.name.clone()),
+            workspace: request.workspace.map(|workspace| workspace.name.clone()),
         };
         self.serve(&exchange, &scope).await
     }
@@ -73,24 +77,25 @@
     fn floor(&self, database: &Database, scope: &Scope) -> Option<Position> {
         match database.access {
             Access::OwnWrites => self.floors.floor_for(scope),
-            // The staleness bound is all that is promised.
+            // Only the staleness bound is promised.
             Access::Bounded | Access::Primary => Some(Position::ZERO),
         }
     }
 }
 
-/// Databases of one group share its members by priority.
+/// Returns a flow by which the databases of a group share its members in proportion to their
+/// weights.
 fn flow(database: &Database) -> Flow {
-    let last = LAST_PRIORITY.min(database.priority);
+    let priority = LAST_PRIORITY.min(database.priority);
     Flow {
         name: database.name.clone(),
-        weight: 1 << (LAST_PRIORITY - last),
+        weight: 1 << (LAST_PRIORITY - priority),
     }
 }
 
 fn target(database: &Database, intent: &Intent) -> Target {
     let reads = match intent.transaction {
-        // It may come to write, so it runs on the primary from the start.
+        // A later statement of the transaction may write, so all of them run on the primary.
         Some(Begin::ReadWrite) => return Target::Strict,
         Some(Begin::ReadOnly) => true,
         None => intent.effect == Effect::Reads,
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -1,5 +1,5 @@
-//! What a box need not work out for each statement: classes of statements it has
-//! seen, and the owners of each group in the order in which it tries them.
+//! Caches for routing: the classes of statements, and the order in which this box tries the
+//! owners of each group.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,43 +14,45 @@
 use crate::decisions::owners::Ranking;
 use crate::declarations::snapshot::Snapshot;
 
-/// Statements whose class is kept; above it all are forgotten.
-const MOST_CLASSES: usize = 10_000;
-/// Longer statements are classified each time.
-const LONGEST: usize = 4_096;
+/// Maximum number of cached classes. A full cache is cleared.
+const MAX_CLASSES: usize = 10_000;
+/// Longest statement whose class is cached, in bytes.
+const MAX_CACHED_LENGTH: usize = 4_096;
 
 /// Classes by the text of the statement.
 #[derive(Default)]
 pub struct Classes {
-    known: RefCell<HashMap<Box<str>, Rc<Class>>>,
+    cache: RefCell<HashMap<Box<str>, Rc<Class>>>,
 }
 
 impl Classes {
+    /// Returns the class of a statement.
     pub fn classify(&self, sql: &str) -> Rc<Class> {
-        if let Some(class) = self.known.borrow().get(sql) {
+        if let Some(class) = self.cache.borrow().get(sql) {
             return class.clone();
         }
         let class = Rc::new(classify(sql));
-        if sql.len() > LONGEST {
+        if sql.len() > MAX_CACHED_LENGTH {
             return class;
         }
-        let mut known = self.known.borrow_mut();
-        if known.len() >= MOST_CLASSES {
-            known.clear();
+        let mut cache = self.cache.borrow_mut();
+        if cache.len() >= MAX_CLASSES {
+            cache.clear();
         }
-        known.insert(sql.into(), class.clone());
+        cache.insert(sql.into(), class.clone());
         class
     }
 }
 
-/// Owners by group, for one snapshot and one list of boxes.
+/// Owners by group.
 #[derive(Default)]
 pub struct Routes {
-    state: RefCell<State>,
+    cache: RefCell<Cache>,
 }
 
+/// Owners that are valid for one snapshot and one list of boxes.
 #[derive(Default)]
-struct State {
+struct Cache {
     snapshot: Arc<Snapshot>,
     boxes: Arc<[Listing]>,
     ranking: Ranking,
@@ -58,7 +60,7 @@
 }
 
 impl Routes {
-    /// Owners of a group: this box first, then its own failure domain.
+    /// Returns the owners of a group: this box first, then those in its failure domain.
     pub fn owners(
         &self,
         group: &Arc<str>,
@@ -66,26 +68,26 @@
         boxes: &Arc<[Listing]>,
         settings: &Run,
     ) -> Rc<[Listing]> {
-        let mut state = self.state.borrow_mut();
-        let current = Arc::ptr_eq(&state.snapshot, snapshot) && Arc::ptr_eq(&state.boxes, boxes);
+        let mut cache = self.cache.borrow_mut();
+        let current = Arc::ptr_eq(&cache.snapshot, snapshot) && Arc::ptr_eq(&cache.boxes, boxes);
         if !current {
-            *state = State {
+            *cache = Cache {
                 snapshot: snapshot.clone(),
                 boxes: boxes.clone(),
                 ranking: Ranking::new(boxes),
                 owners: HashMap::new(),
             };
         }
-        if let Some(owners) = state.owners.get(group) {
+        if let Some(owners) = cache.owners.get(group) {
             return owners.clone();
         }
-        let owners = ordered(group, snapshot, &state.ranking, settings);
-        state.owners.insert(group.clone(), owners.clone());
+        let owners = sorted_owners(group, snapshot, &cache.ranking, settings);
+        cache.owners.insert(group.clone(), owners.clone());
         owners
     }
 }
 
-fn ordered(
+fn sorted_owners(
     group: &Arc<str>,
     snapshot: &Snapshot,
     ranking: &Ranking,
@@ -95,10 +97,10 @@
         return Rc::from([]);
     };
     let mut owners: Vec<Listing> = ranking.owners_of(plan).into_iter().cloned().collect();
-    // Boxes that own nothing of the group spread over its owners.
-    let spread = xxh3_64(settings.name.as_bytes()) as usize;
-    let turn = spread % owners.len().max(1);
-    owners.rotate_left(turn);
+    // Boxes that don't own the group start at different owners, to spread their load.
+    let hash = xxh3_64(settings.name.as_bytes()) as usize;
+    let offset = hash % owners.len().max(1);
+    owners.rotate_left(offset);
     owners.sort_by_key(|owner| (owner.name != settings.name, owner.domain != settings.domain));
     owners.into()
 }
