--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -1,6 +1,7 @@
-//! Lets a workspace's operations through as its limit allows, over all boxes: asks the
-//! boxes that lend out its parts, and is one of them. Where the limit is used up, an
-//! operation may wait for its turn at a lender.
+//! Enforces the rate limits of workspaces over all boxes.
+//!
+//! This box borrows operations from the lenders of a workspace's limit, and is itself a lender
+//! for other workspaces. If a limit is used up, an operation can wait in a lender's queue.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,26 +23,28 @@
 use crate::declarations::snapshot::group_id;
 use crate::events;
 
-/// Time that a lender gets: ten times what it needs.
-const LEND_WAIT: Duration = Duration::from_millis(100);
-/// Lenders that are asked for a turn: the second where the first says nothing.
-const TURN_TRIES: usize = 2;
-/// Part of the time in which an answer is worth most that an operation may wait for its
-/// turn, as a divisor: the rest is for its statements.
-const TURN_PART: u32 = 4;
-/// Purses that are kept; above it, those that say nothing any more are forgotten.
-const MANY_PURSES: usize = 4_096;
-/// Time between two lines of log about one workspace: each refusal would be one otherwise.
-const NOTED: Duration = Duration::from_secs(5);
+/// Timeout of a request to a lender, besides the time that the operation may be queued.
+const LENDER_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum number of lenders whose queue an operation tries; the next one is tried if a lender
+/// doesn't answer.
+const MAX_QUEUE_ATTEMPTS: usize = 2;
+/// Part of the target latency that an operation may be queued, as a divisor: the rest is left
+/// for its statements.
+const QUEUE_TIME_DIVISOR: u32 = 4;
+/// Number of entries at which a map is cleaned up: expired allowances are removed, and cooldowns
+/// are cleared.
+const CLEANUP_THRESHOLD: usize = 4_096;
+/// Least time between two log lines about one workspace's used-up limit.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A question to a lender.
+/// A request to a lender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LoanRequest {
     /// `PARTNER/WORKSPACE`.
     pub workspace: Arc<str>,
+    /// Number of operations to borrow.
     pub wanted: u32,
-    /// Time for which one operation may wait for its turn; none where what is there now is
-    /// asked for.
+    /// Time for which one operation may be queued. None borrows only what can be lent at once.
     #[serde(default)]
     pub within: Option<Duration>,
 }
@@ -49,57 +52,62 @@
 /// A workspace and one of its lenders.
 type Pair = (Arc<str>, Arc<str>);
 
-/// A question under way, for which others may wait.
+/// Borrowing in progress for a workspace.
 #[derive(Default)]
-struct Asked {
+struct Pending {
+    /// Number of other operations that wait for the answer.
     waiting: u32,
     answered: Rc<Notify>,
 }
 
-/// Limits as this box knows them.
+/// The limits of workspaces, as this box knows them.
 #[derive(Default)]
 pub struct Limits {
-    /// What is lent to this box, by workspace.
-    purses: RefCell<HashMap<Arc<str>, Allowance>>,
-    asked: RefCell<HashMap<Arc<str>, Asked>>,
-    /// Until when there is no use in asking a lender for a workspace. Owners that are slow
-    /// with a read say nothing of a lender: shunned as those are, 81 of 494 operations of a
-    /// workspace at half its limit were refused on a calm day.
-    spent: RefCell<HashMap<Pair, Duration>>,
+    /// Borrowed operations, by workspace.
+    allowances: RefCell<HashMap<Arc<str>, Allowance>>,
+    /// Borrowing in progress, by workspace.
+    pending: RefCell<HashMap<Arc<str>, Pending>>,
+    /// Until when a lender isn't asked for a workspace. Separate from the context's
+    /// unresponsive peers, since an owner that is slow with a read may still lend in time.
+    cooldowns: RefCell<HashMap<Pair, Duration>>,
     lender: RefCell<Lender>,
-    /// When it was last logged of a workspace that its limit is used up.
-    noted: RefCell<HashMap<Arc<str>, Duration>>,
+    /// When a workspace's used-up limit was last logged.
+    logged: RefCell<HashMap<Arc<str>, Duration>>,
 }
 
 impl Context {
-    /// Counts an operation of a workspace against its limit; an answer is worth most within
-    /// `aim`. Refused, it has not run.
-    pub async fn admit(&self, workspace: &Workspace, aim: Duration) -> Result<(), Refusal> {
+    /// Admits an operation of a workspace if the workspace's limit allows it, and counts it.
+    /// The operation may be queued for a part of `target_latency`.
+    pub async fn admit(
+        &self,
+        workspace: &Workspace,
+        target_latency: Duration,
+    ) -> Result<(), Refusal> {
         let admitted = match self.limit(workspace) {
-            Some(limit) => self.admit_limited(workspace, limit, aim).await,
-            None => Ok(Admitted::AtOnce),
+            Some(limit) => self.admit_limited(workspace, limit, target_latency).await,
+            None => Ok(Admission::Immediate),
         };
         match &admitted {
-            Ok(Admitted::AtOnce) => self.metrics.operation(&workspace.name, "admitted"),
-            Ok(Admitted::InTurn) => self.metrics.operation(&workspace.name, "waited"),
+            Ok(Admission::Immediate) => self.metrics.operation(&workspace.name, "admitted"),
+            Ok(Admission::Queued) => self.metrics.operation(&workspace.name, "waited"),
             Err(refusal) => {
                 self.metrics.operation(&workspace.name, "over limit");
-                self.note_spent(workspace, refusal);
+                self.log_refusal(workspace, refusal);
             }
         }
         admitted.map(|_| ())
     }
 
-    /// A workspace's limit, none where it has none.
+    /// Returns the limit of a workspace, if it has one.
     fn limit(&self, workspace: &Workspace) -> Option<Limit> {
         let rate = workspace.rate_per_s?;
         let limit = Limit::new(rate, workspace.burst, self.settings.limit_slack);
         Some(limit.with_overage(self.settings.limit_overage))
     }
 
-    /// Logs that a workspace's limit is used up, now and then.
-    fn note_spent(&self, workspace: &Workspace, refusal: &Refusal) {
-        if !self.limits.is_worth_a_line(&workspace.name, self.now()) {
+    /// Logs that a workspace's limit is used up, unless it was logged lately.
+    fn log_refusal(&self, workspace: &Workspace, refusal: &Refusal) {
+        if !self.limits.start_log_interval(&workspace.name, self.now()) {
             return;
         }
         let retry_after = refusal.retry_after.as_millis();
@@ -112,71 +120,80 @@
         &self,
         workspace: &Workspace,
         limit: Limit,
-        aim: Duration,
-    ) -> Result<Admitted, Refusal> {
+        target_latency: Duration,
+    ) -> Result<Admission, Refusal> {
         let id = group_id(&workspace.partner, &workspace.name);
         self.limits
-            .purse(&id, self.now(), |purse, now| purse.record_operation(now));
+            .with_allowance(&id, self.now(), |allowance, now| {
+                allowance.record_operation(now)
+            });
         loop {
             let waiting = self.limits.waiting(&id);
-            let spend = |purse: &mut Allowance, now| purse.spend(waiting, now);
-            let wanted = match self.limits.purse(&id, self.now(), spend) {
-                Spending::Paid => return Ok(Admitted::AtOnce),
+            let spend = |allowance: &mut Allowance, now| allowance.spend(waiting, now);
+            let wanted = match self.limits.with_allowance(&id, self.now(), spend) {
+                Spending::Paid => return Ok(Admission::Immediate),
                 Spending::Exhausted(_) if self.settings.limit_waits => {
-                    return self.wait_for_turn(&id, limit, aim / TURN_PART).await;
+                    return self
+                        .wait_in_queue(&id, limit, target_latency / QUEUE_TIME_DIVISOR)
+                        .await;
                 }
                 Spending::Exhausted(wait) => return Err(Refusal::new(Reason::Limit, wait)),
                 Spending::Borrow(wanted) => wanted,
             };
-            if self.limits.join(&id).await {
+            if self.limits.wait_for_pending(&id).await {
                 continue;
             }
-            let _asking = Asking::new(&self.limits, id.clone());
+            let _pending = PendingGuard::new(&self.limits, id.clone());
             let loan = self.borrow(&id, limit, wanted).await;
             self.limits
-                .purse(&id, self.now(), |purse, now| purse.record_loan(loan, now));
+                .with_allowance(&id, self.now(), |allowance, now| {
+                    allowance.record_loan(loan, now)
+                });
         }
     }
 
-    /// Waits for a turn at the lender that has one soonest, as far as is known.
-    async fn wait_for_turn(
+    /// Waits for a grant in the queue of the lender with the shortest cooldown.
+    async fn wait_in_queue(
         &self,
         id: &Arc<str>,
         limit: Limit,
         wait: Duration,
-    ) -> Result<Admitted, Refusal> {
-        let told = self.limits.purse(id, self.now(), Allowance::refusal_wait);
-        if let Some(told) = told {
-            return Err(Refusal::new(Reason::Limit, told));
+    ) -> Result<Admission, Refusal> {
+        let retry_wait = self
+            .limits
+            .with_allowance(id, self.now(), Allowance::refusal_wait);
+        if let Some(retry_wait) = retry_wait {
+            return Err(Refusal::new(Reason::Limit, retry_wait));
         }
         let until = self.now() + wait;
         let boxes = self.boxes.borrow().clone();
         let mut lenders = self.lenders(id, limit, &boxes);
-        let spent = |lender: &&Listing| self.limits.spent(id, &lender.name, self.now());
-        lenders.sort_by_cached_key(|lender| spent(lender));
-        for lender in lenders.into_iter().take(TURN_TRIES) {
-            let question = LoanRequest {
+        let cooldown = |lender: &&Listing| self.limits.cooldown(id, &lender.name, self.now());
+        lenders.sort_by_cached_key(|lender| cooldown(lender));
+        for lender in lenders.into_iter().take(MAX_QUEUE_ATTEMPTS) {
+            let request = LoanRequest {
                 workspace: id.clone(),
                 wanted: 1,
                 within: Some(until.saturating_sub(self.now())),
             };
-            match self.ask(lender, question).await {
-                Some(Loan::Granted(_)) => return Ok(Admitted::InTurn),
+            match self.request_loan(lender, request).await {
+                Some(Loan::Granted(_)) => return Ok(Admission::Queued),
                 Some(Loan::Spent(wait)) => {
-                    self.limits.purse(id, self.now(), |purse, now| {
-                        purse.record_full_queue(wait, now)
-                    });
+                    self.limits
+                        .with_allowance(id, self.now(), |allowance, now| {
+                            allowance.record_full_queue(wait, now)
+                        });
                     return Err(Refusal::new(Reason::Limit, wait));
                 }
                 None => self
                     .limits
-                    .note_lender(id, &lender.name, self.now() + LENDER_COOLDOWN),
+                    .start_cooldown(id, &lender.name, self.now() + LENDER_COOLDOWN),
             }
         }
         Err(Refusal::new(Reason::Limit, LENDER_COOLDOWN))
     }
 
-    /// The boxes that lend for a workspace, that of the own failure domain first.
+    /// Returns the lenders of a workspace, those in this box's failure domain first.
     fn lenders<'a>(&self, id: &str, limit: Limit, boxes: &'a [Listing]) -> Vec<&'a Listing> {
         let mut lenders = lenders(id, boxes);
         lenders.truncate(limit.part_count(lenders.len()));
@@ -184,197 +201,205 @@
         lenders
     }
 
-    /// Asks the lenders in turn, that of the own failure domain first.
+    /// Borrows from the first lender that has something to lend. If none has, returns the
+    /// shortest of their waits.
     async fn borrow(&self, id: &Arc<str>, limit: Limit, wanted: u32) -> Loan {
         let boxes = self.boxes.borrow().clone();
         let lenders = self.lenders(id, limit, &boxes);
-        let mut soonest: Option<Duration> = None;
+        let mut shortest: Option<Duration> = None;
         for lender in lenders {
-            let known = self.limits.spent(id, &lender.name, self.now());
-            let loan = match known {
+            let cooldown = self.limits.cooldown(id, &lender.name, self.now());
+            let loan = match cooldown {
                 Some(wait) => Loan::Spent(wait),
                 None => {
-                    let question = LoanRequest {
+                    let request = LoanRequest {
                         workspace: id.clone(),
                         wanted,
                         within: None,
                     };
-                    let loan = self.ask(lender, question).await;
+                    let loan = self.request_loan(lender, request).await;
                     loan.unwrap_or(Loan::Spent(LENDER_COOLDOWN))
                 }
             };
             let Loan::Spent(wait) = loan else {
                 return loan;
             };
-            if known.is_none() {
+            if cooldown.is_none() {
                 let until = self.now() + wait;
-                self.limits.note_lender(id, &lender.name, until);
+                self.limits.start_cooldown(id, &lender.name, until);
             }
-            soonest = Some(soonest.map_or(wait, |known| known.min(wait)));
+            shortest = Some(shortest.map_or(wait, |shortest| shortest.min(wait)));
         }
-        Loan::Spent(soonest.unwrap_or(LENDER_COOLDOWN))
+        Loan::Spent(shortest.unwrap_or(LENDER_COOLDOWN))
     }
 
-    /// A lender's answer, none where it gives none.
-    async fn ask(&self, lender: &Listing, question: LoanRequest) -> Option<Loan> {
+    /// Returns a lender's answer, if it gives one in time.
+    async fn request_loan(&self, lender: &Listing, request: LoanRequest) -> Option<Loan> {
         if lender.name == self.settings.name {
-            return self.lend(&question).await;
+            return self.lend(&request).await;
         }
-        let wait = LEND_WAIT + question.within.unwrap_or_default();
-        peers::borrow(self, &lender.address, &question, wait).await
+        let timeout = LENDER_TIMEOUT + request.within.unwrap_or_default();
+        peers::borrow(self, &lender.address, &request, timeout).await
     }
 
-    /// Lends out of the part that this box lends, in turn where that is asked for; none where
-    /// it is no lender of the workspace, as far as it knows.
-    pub async fn lend(&self, question: &LoanRequest) -> Option<Loan> {
-        let id = &question.workspace;
+    /// Lends operations out of this box's part of a workspace's limit, or queues one operation
+    /// until it is granted. None if this box isn't a lender of the workspace, as far as it knows.
+    pub async fn lend(&self, request: &LoanRequest) -> Option<Loan> {
+        let id = &request.workspace;
         let now = self.now();
         let part = self.part(id)?;
-        let Some(wait) = question.within else {
+        let Some(wait) = request.within else {
             let mut lender = self.limits.lender.borrow_mut();
-            return Some(lender.lend(id, part, question.wanted, now));
+            return Some(lender.lend(id, part, request.wanted, now));
         };
-        let place = self.limits.lender.borrow_mut().enqueue(id, part, wait, now);
-        let (waiting, mut turn) = match place {
-            Decision::Queued(waiting, turn) => (waiting, turn),
+        let decision = self.limits.lender.borrow_mut().enqueue(id, part, wait, now);
+        let (ticket, mut poll_at) = match decision {
+            Decision::Queued(ticket, poll_at) => (ticket, poll_at),
             Decision::Granted => return Some(Loan::Granted(1)),
             Decision::Exhausted(wait) => return Some(Loan::Spent(wait)),
         };
-        let _in_line = InLine {
+        let _queue_guard = QueueGuard {
             limits: &self.limits,
             id,
-            waiting,
+            ticket,
         };
         loop {
-            tokio::time::sleep(turn.saturating_sub(self.now())).await;
+            tokio::time::sleep(poll_at.saturating_sub(self.now())).await;
             let part = self.part(id)?;
             let now = self.now();
-            let place = self.limits.lender.borrow_mut().poll(id, part, waiting, now);
-            match place {
-                Decision::Queued(_, next) => turn = next,
+            let decision = self.limits.lender.borrow_mut().poll(id, part, ticket, now);
+            match decision {
+                Decision::Queued(_, next) => poll_at = next,
                 Decision::Granted => return Some(Loan::Granted(1)),
                 Decision::Exhausted(wait) => return Some(Loan::Spent(wait)),
             }
         }
     }
 
-    /// The part of a workspace's limit that this box lends.
+    /// Returns the part of a workspace's limit that this box lends.
     fn part(&self, id: &Arc<str>) -> Option<Limit> {
         let workspace = self.snapshot.borrow().workspaces.get(id).cloned();
         let limit = self.limit(&*workspace?)?;
         let boxes = self.boxes.borrow().clone();
         let lenders = lenders(id, &boxes);
         let parts = limit.part_count(lenders.len());
-        let own = |lender: &&Listing| lender.name == self.settings.name;
-        lenders.into_iter().take(parts).find(own)?;
+        let is_self = |lender: &&Listing| lender.name == self.settings.name;
+        lenders.into_iter().take(parts).find(is_self)?;
         Some(limit.part(parts))
     }
 }
 
-/// How an operation was let through.
-enum Admitted {
-    AtOnce,
-    InTurn,
+/// How an operation was admitted.
+enum Admission {
+    Immediate,
+    /// After waiting in a lender's queue.
+    Queued,
 }
 
-/// Takes an operation out of its line when whoever waits for it goes away.
-struct InLine<'a> {
+/// Removes an operation from the queue if its request is dropped.
+struct QueueGuard<'a> {
     limits: &'a Limits,
     id: &'a str,
-    waiting: Ticket,
+    ticket: Ticket,
 }
 
-impl Drop for InLine<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         let mut lender = self.limits.lender.borrow_mut();
-        lender.cancel(self.id, self.waiting);
+        lender.cancel(self.id, self.ticket);
     }
 }
 
-/// Ends a question under way, however it ends.
-struct Asking<'a> {
+/// Marks a workspace's borrowing as pending, and wakes the operations that wait for it when
+/// dropped.
+struct PendingGuard<'a> {
     limits: &'a Limits,
     id: Arc<str>,
 }
 
-impl<'a> Asking<'a> {
+impl<'a> PendingGuard<'a> {
     fn new(limits: &'a Limits, id: Arc<str>) -> Self {
         limits
-            .asked
+            .pending
             .borrow_mut()
-            .insert(id.clone(), Asked::default());
+            .insert(id.clone(), Pending::default());
         Self { limits, id }
     }
 }
 
-impl Drop for Asking<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        let asked = self.limits.asked.borrow_mut().remove(&self.id);
-        if let Some(asked) = asked {
-            asked.answered.notify_waiters();
+        let pending = self.limits.pending.borrow_mut().remove(&self.id);
+        if let Some(pending) = pending {
+            pending.answered.notify_waiters();
         }
     }
 }
 
 impl Limits {
-    /// Takes a new list of boxes for the box of this name.
+    /// Applies a new list of boxes for the box `name`.
     pub fn set_boxes(&self, name: &str, boxes: &[Listing], now: Duration) {
         self.lender.borrow_mut().set_boxes(name, boxes, now);
     }
 
-    fn purse<T>(
+    /// Calls `update` with a workspace's allowance.
+    fn with_allowance<T>(
         &self,
         id: &Arc<str>,
         now: Duration,
-        act: impl FnOnce(&mut Allowance, Duration) -> T,
+        update: impl FnOnce(&mut Allowance, Duration) -> T,
     ) -> T {
-        let mut purses = self.purses.borrow_mut();
-        if purses.len() >= MANY_PURSES && !purses.contains_key(id) {
-            purses.retain(|_, purse| !purse.is_expired(now));
+        let mut allowances = self.allowances.borrow_mut();
+        if allowances.len() >= CLEANUP_THRESHOLD && !allowances.contains_key(id) {
+            allowances.retain(|_, allowance| !allowance.is_expired(now));
         }
-        act(purses.entry(id.clone()).or_default(), now)
+        update(allowances.entry(id.clone()).or_default(), now)
     }
 
-    /// How many wait for the answer to a question under way.
+    /// Returns how many operations wait for a pending request to the workspace's lenders.
     fn waiting(&self, id: &str) -> u32 {
-        self.asked.borrow().get(id).map_or(0, |asked| asked.waiting)
+        self.pending
+            .borrow()
+            .get(id)
+            .map_or(0, |pending| pending.waiting)
     }
 
-    /// Waits for the answer to a question under way. False where there is none.
-    async fn join(&self, id: &str) -> bool {
+    /// Waits for the answer to a pending request. Returns false if none is pending.
+    async fn wait_for_pending(&self, id: &str) -> bool {
         let answered = {
-            let mut asked = self.asked.borrow_mut();
-            let Some(asked) = asked.get_mut(id) else {
+            let mut pending = self.pending.borrow_mut();
+            let Some(pending) = pending.get_mut(id) else {
                 return false;
             };
-            asked.waiting += 1;
-            asked.answered.clone()
+            pending.waiting += 1;
+            pending.answered.clone()
         };
         answered.notified().await;
         true
     }
 
-    /// How long there is no use in asking a lender, none where there is.
-    fn spent(&self, id: &Arc<str>, lender: &Arc<str>, now: Duration) -> Option<Duration> {
-        let spent = self.spent.borrow();
-        let until = *spent.get(&(id.clone(), lender.clone()))?;
+    /// Returns for how long a lender isn't asked for a workspace, or none if it may be asked.
+    fn cooldown(&self, id: &Arc<str>, lender: &Arc<str>, now: Duration) -> Option<Duration> {
+        let cooldowns = self.cooldowns.borrow();
+        let until = *cooldowns.get(&(id.clone(), lender.clone()))?;
         (now < until).then(|| until - now)
     }
 
-    fn note_lender(&self, id: &Arc<str>, lender: &Arc<str>, until: Duration) {
-        let mut spent = self.spent.borrow_mut();
-        if spent.len() >= MANY_PURSES {
-            spent.clear();
+    fn start_cooldown(&self, id: &Arc<str>, lender: &Arc<str>, until: Duration) {
+        let mut cooldowns = self.cooldowns.borrow_mut();
+        if cooldowns.len() >= CLEANUP_THRESHOLD {
+            cooldowns.clear();
         }
-        spent.insert((id.clone(), lender.clone()), until);
+        cooldowns.insert((id.clone(), lender.clone()), until);
     }
 
-    fn is_worth_a_line(&self, workspace: &Arc<str>, now: Duration) -> bool {
-        let mut noted = self.noted.borrow_mut();
-        noted.retain(|_, at| now < *at + NOTED);
-        let first = !noted.contains_key(workspace);
+    /// Starts a log interval for a workspace. Returns false if one is running.
+    fn start_log_interval(&self, workspace: &Arc<str>, now: Duration) -> bool {
+        let mut logged = self.logged.borrow_mut();
+        logged.retain(|_, at| now < *at + LOG_INTERVAL);
+        let first = !logged.contains_key(workspace);
         if first {
-            noted.insert(workspace.clone(), now);
+            logged.insert(workspace.clone(), now);
         }
         first
     }
