--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -199,7 +199,7 @@
             Message::AlertReceived { from } => self.handle_alert(&from),
             Message::MajorityReplies(replies) => {
                 self.partition_monitor.record_replies(&replies);
-                self.context.settled.send_replace(true);
+                self.context.partition_known.send_replace(true);
             }
             Message::QueryMajority { group, reply } => {
                 let now = self.context.now();
@@ -216,8 +216,8 @@
                 let groups = self.groups.values().map(|owned| owned.group.dump(now));
                 let _ = reply.send(Dump {
                     callers: self.context.callers.get(),
-                    idle_connections: self.context.idle.get(),
-                    resting: self.context.pace.get() == Polling::Paused,
+                    idle_connections: self.context.idle_connections.get(),
+                    resting: self.context.polling.get() == Polling::Paused,
                     groups: groups.collect(),
                 });
             }
--- a/src/node/driver/ownership.rs
+++ b/src/node/driver/ownership.rs
@@ -78,7 +78,7 @@
             members.map(move |member| (member.address.sql.clone(), share))
         });
         let addresses = addresses.collect();
-        self.context.owned.send_replace(addresses);
+        self.context.connection_shares.send_replace(addresses);
     }
 
     /// Starts to act as an owner of a group.
--- a/src/node/driver/partition.rs
+++ b/src/node/driver/partition.rs
@@ -18,7 +18,7 @@
     /// Updates whether the box is partitioned, and queries the owners of other groups if its own
     /// groups don't suffice to tell.
     pub(super) fn check_partition(&mut self) {
-        if *self.context.leaving.borrow() {
+        if *self.context.shutting_down.borrow() {
             return;
         }
         let now = self.context.now();
@@ -38,7 +38,7 @@
         if counts.owned == counts.groups && counts.owned > 0 {
             // The box's own groups suffice to tell.
             self.context
-                .settled
+                .partition_known
                 .send_if_modified(|settled| !std::mem::replace(settled, true));
         }
         self.partition_monitor.update_counts(counts, now);
@@ -57,7 +57,7 @@
     /// the partition begins.
     fn update_away(&self, now: Duration) {
         let partitioned = self.partition_monitor.is_partitioned();
-        let changed = self.context.away.send_if_modified(|away| {
+        let changed = self.context.not_ready_since.send_if_modified(|away| {
             let changed = away.is_some() != partitioned;
             if changed {
                 *away = partitioned.then_some(now);
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -14,7 +14,7 @@
     ConfirmRequest, Denial, Grant, Incarnation, Message, SlotRequest, Unconfirmed,
 };
 use super::once;
-use super::pool::{Pool, Pooled};
+use super::pool::{Connection, Pool};
 use super::slot::{Lease, Slot};
 use crate::borders::upstream::{Answer, ConnectError, Rejection, UpstreamError, Verdict};
 use crate::decisions::budget::Budget;
@@ -102,7 +102,7 @@
     /// Serves an exchange of another box. A leaving box only continues open transactions, so
     /// that the other box tries the next owner.
     pub async fn serve_peer(&self, exchange: &Exchange) -> Result<Reply, Failure> {
-        if exchange.lease.is_none() && *self.context.leaving.borrow() {
+        if exchange.lease.is_none() && *self.context.shutting_down.borrow() {
             return Err(Failure::NotOwner);
         }
         self.peer_exchanges.set(self.peer_exchanges.get() + 1);
@@ -176,7 +176,7 @@
                 lease.slot.send_event(Event::ProbeAll)
             }
         }
-        self.pool.put(&lease.slot.grant.spec, lease.connection);
+        self.pool.release(&lease.slot.grant.spec, lease.connection);
     }
 
     /// Waits for a slot at a member that suits `target`.
@@ -227,9 +227,9 @@
     }
 
     /// Returns a connection for a slot, or the delay after which to try again.
-    pub async fn connect(&self, slot: &Slot, exchange: &Exchange) -> Result<Pooled, Duration> {
+    pub async fn connect(&self, slot: &Slot, exchange: &Exchange) -> Result<Connection, Duration> {
         let workspace = exchange.workspace.as_ref();
-        let taken = self.pool.take(&slot.grant.spec, workspace).await;
+        let taken = self.pool.acquire(&slot.grant.spec, workspace).await;
         taken.map_err(|error| {
             let member = slot.grant.member;
             match error {
@@ -383,7 +383,7 @@
             Some(position) if wrote && grant.primary => Some(Unconfirmed::Write(position)),
             _ => unconfirmed_read(&slot, target, since, position),
         };
-        self.pool.put(&slot.grant.spec, connection);
+        self.pool.release(&slot.grant.spec, connection);
         drop(slot);
         if let Some(unconfirmed) = unconfirmed {
             let confirmation =
@@ -527,23 +527,24 @@
         tokio::task::spawn_local(async move {
             let done = tokio::time::timeout(ROLLBACK_TIMEOUT, lease.connection.roll_back()).await;
             if let Ok(Ok(())) = done {
-                pool.put(&lease.slot.grant.spec, lease.connection);
+                pool.release(&lease.slot.grant.spec, lease.connection);
             }
         });
     }
 
     /// Closes idle connections beyond this box's share.
     pub fn trim(&self) {
-        self.pool.trim(&self.context.owned.borrow());
-        self.context.idle.set(self.pool.idle());
+        self.pool.trim(&self.context.connection_shares.borrow());
+        self.context.idle_connections.set(self.pool.idle_count());
     }
 
     /// Rolls back the transactions that have been idle for too long.
     pub fn roll_back_expired(&self) {
         let now = self.context.now();
         let mut leases = self.leases.borrow_mut();
-        let expired =
-            |lease: &Lease| now >= lease.last_used + self.context.lease_idle(&lease.slot.group);
+        let expired = |lease: &Lease| {
+            now >= lease.last_used + self.context.idle_transaction_timeout(&lease.slot.group)
+        };
         let late = leases.extract_if(|_, lease| expired(lease));
         let late: Vec<Lease> = late.map(|(_, lease)| lease).collect();
         drop(leases);
--- a/src/node/slot.rs
+++ b/src/node/slot.rs
@@ -6,7 +6,7 @@
 
 use super::context::Context;
 use super::message::{Grant, Incarnation, Message};
-use super::pool::Pooled;
+use super::pool::Connection;
 use crate::decisions::group::{Event, Target};
 
 /// A slot at a member, released when it is dropped.
@@ -68,7 +68,7 @@
 
 /// A connection held for a session between its exchanges.
 pub struct Lease {
-    pub connection: Pooled,
+    pub connection: Connection,
     pub slot: Slot,
     pub target: Target,
     /// Whether the open transaction may have changed data.
--- a/src/postgres/entry.rs
+++ b/src/postgres/entry.rs
@@ -63,7 +63,7 @@
 
     /// Accepts callers until the box shuts down.
     async fn accept_all(self: Rc<Self>, listener: TcpListener) -> std::io::Result<()> {
-        let mut leaving = self.context.leaving.clone();
+        let mut leaving = self.context.shutting_down.clone();
         loop {
             let (socket, _) = tokio::select! {
                 accepted = listener.accept() => accepted?,
--- a/src/postgres/session.rs
+++ b/src/postgres/session.rs
@@ -123,7 +123,7 @@
 
     /// Serves the caller until one side ends the connection.
     pub async fn run(&mut self) -> Result<(), ChannelError> {
-        let mut leaving = self.context.leaving.clone();
+        let mut leaving = self.context.shutting_down.clone();
         loop {
             let idle = self.core.is_idle();
             let message = tokio::select! {
@@ -208,7 +208,7 @@
     }
 
     fn handle_parse(&mut self, parse: Parse) -> Result<(), ChannelError> {
-        let class = self.context.classes.of(&parse.query);
+        let class = self.context.classes.classify(&parse.query);
         let statement = shared_statement(&parse.query, parse.type_oids);
         let prepared = Prepared {
             statement: statement.clone(),
@@ -263,11 +263,11 @@
         if self.skipping {
             self.skipping = false;
             self.batch = Batch::default();
-            if !self.core.is_holding() {
+            if !self.core.has_connection() {
                 return self.send_ready().await;
             }
         }
-        if self.batch.steps.is_empty() && !self.core.is_holding() {
+        if self.batch.steps.is_empty() && !self.core.has_connection() {
             return self.send_ready().await;
         }
         self.run_exchange(Close::Sync).await
@@ -276,7 +276,7 @@
     // Simple protocol.
 
     async fn handle_query(&mut self, sql: String) -> Result<(), ChannelError> {
-        let class = self.context.classes.of(&sql);
+        let class = self.context.classes.classify(&sql);
         if self.core.status == Status::Idle && class.kind == Kind::Session {
             return self.run_command(&class.command).await;
         }
@@ -383,7 +383,7 @@
     /// Runs the collected messages as one exchange and sends the answer.
     async fn run_exchange(&mut self, close: Close) -> Result<(), ChannelError> {
         let batch = std::mem::take(&mut self.batch);
-        if self.core.lost {
+        if self.core.transaction_lost {
             return self.run_in_lost_transaction(&batch, close).await;
         }
         let (exchange, scope) = match self.build_exchange(batch, close) {
@@ -421,7 +421,9 @@
             .groups
             .get(&self.group)
             .ok_or_else(|| SqlError::fatal("3D000", "this database group is no longer declared"))?;
-        let class = batch.class.unwrap_or_else(|| self.context.classes.of(""));
+        let class = batch
+            .class
+            .unwrap_or_else(|| self.context.classes.classify(""));
         if let Command::Refuse { what } = class.command {
             return Err(unsupported(what));
         }
@@ -451,7 +453,7 @@
             flow: None,
             aim: None,
             trace: "".into(),
-            lease: self.core.lease(),
+            lease: self.core.connection_id(),
             setup: Setup::default(),
             on_primary: false,
             payload: Steps {
@@ -502,7 +504,7 @@
                 let hint = "send /* larkfall: once=KEY */ or SET larkfall.once = 'KEY' before it";
                 Err(SqlError::error(state::KEY_MISSING, message).with_hint(hint))
             }
-            (Some(_), _) if self.core.status != Status::Idle || self.core.is_holding() => {
+            (Some(_), _) if self.core.status != Status::Idle || self.core.has_connection() => {
                 let message = "a request with a key can't be part of a larger transaction";
                 Err(SqlError::error(state::UNSUPPORTED, message))
             }
@@ -551,7 +553,7 @@
                 .send_error(&SqlError::error("25P02", message), Some(close))
                 .await;
         }
-        self.core.end_lost();
+        self.core.end_lost_transaction();
         let bytes = self.rollback_answer(batch)?;
         self.channel.queue_bytes(&bytes);
         self.send_ready().await
@@ -593,7 +595,7 @@
         close: Option<Close>,
     ) -> Result<(), ChannelError> {
         self.batch = Batch::default();
-        self.core.give_up();
+        self.core.abort_if_in_transaction();
         self.channel.queue_backend(&error.to_message())?;
         match close {
             Some(Close::Query | Close::Sync) => self.send_ready().await,
