--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -204,7 +204,7 @@
         let size = serde_json::to_vec(&scan).map_or(0, |bytes| bytes.len());
         let mut store = Store::default();
         let began = Instant::now();
-        store.take(Revision::NONE, &scan, &log);
+        store.apply(Revision::NONE, &scan, &log);
         let taken = began.elapsed();
         drop(scan);
         let began = Instant::now();
--- a/src/node/api.rs
+++ b/src/node/api.rs
@@ -22,7 +22,7 @@
 use super::configuration;
 use super::exchange::{Exchange, Failure, Reply};
 use super::message::{Dump, Message, Sender};
-use super::news::News;
+use super::news::Update;
 use super::{follow, limits, peers};
 use crate::borders::roster::Listing;
 use crate::borders::table::{Commit, Revision, TableError, Verdict};
@@ -43,15 +43,15 @@
 pub struct Api {
     pub name: Arc<str>,
     /// Hash of the token that may declare partners.
-    pub admin: Option<Arc<str>>,
+    pub admin_hash: Option<Arc<str>>,
     pub decisions: Sender,
-    pub keeper: configuration::Sender,
+    pub configuration: configuration::Sender,
     pub work: mpsc::UnboundedSender<Work>,
     pub snapshot: watch::Receiver<Arc<Snapshot>>,
     pub boxes: watch::Receiver<Arc<[Listing]>>,
     pub leaving: watch::Receiver<bool>,
     pub registry: Registry,
-    pub nonces: AtomicU64,
+    pub next_nonce: AtomicU64,
 }
 
 type Shared = State<Arc<Api>>;
@@ -155,23 +155,24 @@
 async fn follow(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
     let question = unpacked(&body)?;
     let (snapshot, boxes) = (api.snapshot.clone(), api.boxes.clone());
-    let answer = follow::answer(question, &api.keeper, snapshot, boxes).await;
+    let answer = follow::answer_follower(question, &api.configuration, snapshot, boxes).await;
     let answer = answer.ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
     Ok(packed(&answer))
 }
 
 async fn news(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
-    let news: News = unpacked(&body)?;
-    let _ = api.keeper.send(configuration::Request::News(news));
+    let news: Update = unpacked(&body)?;
+    let _ = api.configuration.send(configuration::Request::Update(news));
     Ok(packed(&()))
 }
 
 async fn scan(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
     let question = unpacked(&body)?;
     let (reply, answer) = oneshot::channel();
-    let _ = api
-        .keeper
-        .send(configuration::Request::Scan { question, reply });
+    let _ = api.configuration.send(configuration::Request::Scan {
+        request: question,
+        reply,
+    });
     let scan = answer.await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
     Ok(packed(&scan))
 }
--- a/src/node/api/resources.rs
+++ b/src/node/api/resources.rs
@@ -20,7 +20,7 @@
 use crate::declarations::resource::{Key, Kind, Spec};
 use crate::declarations::snapshot::{Snapshot, Stored, group_id};
 use crate::node::configuration;
-use crate::node::news::Question;
+use crate::node::news::ScanRequest;
 use crate::secret;
 
 /// Time that an accepted change gets to come into force on the box that took it.
@@ -125,7 +125,7 @@
             found = Some(Caller::Operator(partner.name.clone()));
         }
     }
-    if let Some(hash) = &api.admin
+    if let Some(hash) = &api.admin_hash
         && secret::fits(token, hash)
     {
         found = Some(Caller::Admin);
@@ -391,7 +391,7 @@
             value: change.spec.as_ref().map(|spec| json!(spec)),
         }
     };
-    let number = api.nonces.fetch_add(1, Ordering::Relaxed);
+    let number = api.next_nonce.fetch_add(1, Ordering::Relaxed);
     let commit = Commit {
         nonce: format!("{}/{number}", api.name),
         writes: changes.iter().map(write).collect(),
@@ -403,7 +403,7 @@
         .unwrap_or(Err(TableError::Unavailable("stopping".to_owned())));
     match verdict {
         Ok(Verdict::Done(revision)) => {
-            let _ = api.keeper.send(configuration::Request::Poll);
+            let _ = api.configuration.send(configuration::Request::Poll);
             // So that the caller's next change is made against this one.
             let mut newest = api.snapshot.clone();
             let own = newest.wait_for(|snapshot| snapshot.revision >= revision);
@@ -445,13 +445,14 @@
     let newer = snapshot.wait_for(|snapshot| snapshot.revision > query.since);
     let _ = tokio::time::timeout(WATCH_HOLD, newer).await;
     let (reply, answer) = oneshot::channel();
-    let question = Question {
+    let question = ScanRequest {
         since: query.since,
         digest: 0,
     };
-    let _ = api
-        .keeper
-        .send(configuration::Request::Scan { question, reply });
+    let _ = api.configuration.send(configuration::Request::Scan {
+        request: question,
+        reply,
+    });
     let scan = answer
         .await
         .map_err(|_| problem(StatusCode::SERVICE_UNAVAILABLE, "stopping"))?;
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -17,7 +17,7 @@
 
 use super::context::Context;
 use super::message::Message;
-use super::news::{Answer, Cursor, News, Question, State};
+use super::news::{Cursor, FollowAnswer, FollowRequest, ScanRequest, Update};
 use super::peers;
 use crate::borders::roster::Listing;
 use crate::borders::table::{Revision, Scan, Section};
@@ -28,7 +28,7 @@
 pub use departures::Departures;
 pub use store::Store;
 
-pub const PRIMARY: &str = "primary/";
+pub const PRIMARY_PREFIX: &str = "primary/";
 /// Peers are asked when the table has given no answer for this long: when all boxes
 /// start together, the table answers before any peer does.
 const PEER_AFTER: Duration = Duration::from_millis(600);
@@ -66,21 +66,21 @@
 pub enum Request {
     /// Rows after a revision, for a peer or a watcher.
     Scan {
-        question: Question,
+        request: ScanRequest,
         reply: oneshot::Sender<Scan>,
     },
-    News(News),
+    Update(Update),
     /// What a follower lacks of the rows and of the list of boxes.
     Follow {
-        state: State,
-        reply: oneshot::Sender<Answer>,
+        request: FollowRequest,
+        reply: oneshot::Sender<FollowAnswer>,
     },
     /// Digest of all rows, and revision of the list of boxes.
-    Known {
+    Digest {
         reply: oneshot::Sender<(u64, Revision)>,
     },
     /// What a reader of the table has passed on.
-    Followed(Answer),
+    ReaderAnswer(FollowAnswer),
     /// Look at the table now.
     Poll,
 }
@@ -98,7 +98,7 @@
 }
 
 /// The keeper of the configuration on one box.
-pub struct Keeper {
+pub struct Updater {
     context: Rc<Context>,
     inbox: mpsc::UnboundedReceiver<Request>,
     store: Store,
@@ -124,7 +124,7 @@
     compared: bool,
 }
 
-impl Keeper {
+impl Updater {
     pub fn new(
         context: Rc<Context>,
         inbox: mpsc::UnboundedReceiver<Request>,
@@ -170,17 +170,19 @@
     }
 
     /// What a follower does not have yet.
-    fn follow(&self, state: &State) -> Answer {
+    fn follow(&self, state: &FollowRequest) -> FollowAnswer {
         let cursor = Cursor {
             epoch: self.epoch,
-            taken: self.store.taken(),
+            taken: self.store.sequence(),
         };
         let told = state.cursor.filter(|told| told.epoch == self.epoch);
-        let scan = self.store.follow(state.digest, told.map(|told| told.taken));
+        let scan = self
+            .store
+            .scan_for_follower(state.digest, told.map(|told| told.taken));
         let scan = self.with_ages(scan);
         let newer = self.boxes_revision > state.boxes;
         let heard = self.context.table.answer_age();
-        Answer {
+        FollowAnswer {
             cursor,
             scan,
             digest: self.store.digest(),
@@ -190,7 +192,7 @@
         }
     }
 
-    fn take_followed(&mut self, answer: Answer) {
+    fn take_followed(&mut self, answer: FollowAnswer) {
         self.accept(&Origin::Reader, Revision::NONE, answer.scan);
         if let Some(boxes) = answer.boxes
             && answer.boxes_revision > self.boxes_revision
@@ -200,13 +202,13 @@
         }
     }
 
-    fn question(&self) -> Question {
+    fn question(&self) -> ScanRequest {
         let since = match self.context.table.has_ordered_revisions() {
             true => self.store.revision(),
             false => Revision::NONE,
         };
         let digest = self.store.digest();
-        Question { since, digest }
+        ScanRequest { since, digest }
     }
 
     /// The poll interval, spread so that boxes do not ask in step.
@@ -217,17 +219,23 @@
 
     async fn take(&mut self, request: Request) {
         match request {
-            Request::Scan { question, reply } => {
-                let _ = reply.send(self.with_ages(self.store.answer(&question)));
+            Request::Scan {
+                request: question,
+                reply,
+            } => {
+                let _ = reply.send(self.with_ages(self.store.scan_for_peer(&question)));
             }
-            Request::News(news) => self.news(news),
-            Request::Follow { state, reply } => {
+            Request::Update(news) => self.news(news),
+            Request::Follow {
+                request: state,
+                reply,
+            } => {
                 let _ = reply.send(self.follow(&state));
             }
-            Request::Known { reply } => {
+            Request::Digest { reply } => {
                 let _ = reply.send((self.store.digest(), self.boxes_revision));
             }
-            Request::Followed(answer) => self.take_followed(answer),
+            Request::ReaderAnswer(answer) => self.take_followed(answer),
             Request::Poll => self.poll().await,
         }
     }
@@ -311,8 +319,8 @@
     /// Puts newer rows in force and tells some peers.
     fn accept(&mut self, origin: &Origin, since: Revision, scan: Scan) -> bool {
         let now = self.context.now();
-        if !self.store.take(since, &scan, &self.context.log) {
-            if self.departures.learn(&scan.ages, now) {
+        if !self.store.apply(since, &scan, &self.context.log) {
+            if self.departures.merge_ages(&scan.ages, now) {
                 self.put_in_force(self.store.snapshot());
             }
             return false;
@@ -321,8 +329,8 @@
         let lag = self.lag(origin, &scan);
         let before = self.snapshot.borrow().clone();
         let change = (&*before, &snapshot);
-        let departed = self.departures.take(change, &scan.ages, lag, now);
-        let known = self.store.whole().get(&Section::Declarations);
+        let departed = self.departures.update(change, &scan.ages, lag, now);
+        let known = self.store.complete_sections().get(&Section::Declarations);
         let fields: [(_, &dyn fmt::Display); 4] = [
             ("revision", &snapshot.revision),
             ("declarations", known.unwrap_or(&Revision::NONE)),
@@ -337,7 +345,7 @@
     }
 
     fn put_in_force(&self, snapshot: Snapshot) {
-        let snapshot = Arc::new(snapshot.with_departures(self.departures.known()));
+        let snapshot = Arc::new(snapshot.with_departures(self.departures.iter()));
         self.snapshot.send_replace(snapshot.clone());
         let _ = self.context.decisions.send(Message::Snapshot(snapshot));
     }
@@ -370,7 +378,11 @@
         {
             return;
         }
-        if !self.store.whole().contains_key(&Section::Declarations) {
+        if !self
+            .store
+            .complete_sections()
+            .contains_key(&Section::Declarations)
+        {
             return;
         }
         for listing in self.some_peers(PEERS_COMPARED) {
@@ -382,7 +394,7 @@
     /// Asks others for how long members have been leaving, where this box can't tell: it
     /// started after their word.
     fn ask_for_ages(&mut self) {
-        if !self.departures.has_unknown(self.context.now()) {
+        if !self.departures.has_unknown_age(self.context.now()) {
             return;
         }
         for listing in self.some_peers(PEERS_ASKED) {
@@ -403,7 +415,7 @@
         if self.context.settings.fanout == 0 {
             return;
         }
-        let news = News {
+        let news = Update {
             from: self.context.own_api_address().into(),
             since,
             scan,
@@ -411,7 +423,7 @@
         let random = self.context.settings.fanout.saturating_sub(1);
         let next = self.next_peer().into_iter();
         for listing in next.chain(self.some_peers(random)) {
-            let told = peers::tell(self.context.clone(), listing.address, news.clone());
+            let told = peers::push_update(self.context.clone(), listing.address, news.clone());
             tokio::task::spawn_local(told);
         }
     }
@@ -435,7 +447,7 @@
         chosen.cloned().collect()
     }
 
-    fn news(&mut self, news: News) {
+    fn news(&mut self, news: Update) {
         if news.scan.head <= self.store.revision() && self.context.table.has_ordered_revisions() {
             return;
         }
@@ -454,7 +466,7 @@
         let context = self.context.clone();
         let question = self.question();
         let asked = async move {
-            let scan = peers::scan(&context, &peer, &question).await;
+            let scan = peers::fetch_rows(&context, &peer, &question).await;
             let since = question.since;
             Heard::Rows { peer, since, scan }
         };
@@ -463,7 +475,7 @@
 
     fn ask_for_boxes(&mut self, peer: Arc<str>) {
         let context = self.context.clone();
-        let asked = async move { Heard::Boxes(peers::boxes(&context, &peer).await) };
+        let asked = async move { Heard::Boxes(peers::fetch_boxes(&context, &peer).await) };
         self.questions.push(Box::pin(asked));
     }
 
--- a/src/node/configuration/departures.rs
+++ b/src/node/configuration/departures.rs
@@ -16,7 +16,7 @@
 /// Members that leave or are listed no more, and how long ago that was said.
 #[derive(Default)]
 pub struct Departures {
-    known: BTreeMap<Key, Departed>,
+    iter: BTreeMap<Key, Departed>,
 }
 
 /// How much older another box's age of a word has to be to count in place of one's own: what
@@ -62,15 +62,15 @@
     /// Takes over who departs by a snapshot that follows on another, and returns of whom that
     /// is news. Its age is what `told` says, or at most `lag`; none where that is not known
     /// either.
-    pub fn take(
+    pub fn update(
         &mut self,
         (before, snapshot): (&Snapshot, &Snapshot),
         told: &DepartureAges,
         lag: Option<Duration>,
         now: Duration,
     ) -> Vec<(Key, Manner)> {
-        self.learn(told, now);
-        self.known
+        self.merge_ages(told, now);
+        self.iter
             .retain(|key, known| !known.is_over(listed(snapshot, key).as_ref(), now));
         let departed: Vec<(Key, Manner)> = snapshot.departed_since(before).collect();
         for (key, _) in &departed {
@@ -81,7 +81,7 @@
             };
             // A member that leaves, and whose entry goes or lapses later, left when it said so.
             let era = last.revision.era();
-            let known = self.known.entry(key.clone()).or_insert_with(|| Departed {
+            let known = self.iter.entry(key.clone()).or_insert_with(|| Departed {
                 member: last.member.clone(),
                 departure: Departure::with_age(now, age),
                 era,
@@ -94,9 +94,9 @@
 
     /// Takes ages that another box has told, where this one has none or a younger one: it may
     /// have heard a word only when that was written again. Whether any was.
-    pub fn learn(&mut self, told: &DepartureAges, now: Duration) -> bool {
+    pub fn merge_ages(&mut self, told: &DepartureAges, now: Duration) -> bool {
         let mut learned = false;
-        for (key, known) in &mut self.known {
+        for (key, known) in &mut self.iter {
             let Some(age) = told.get(&row_key(key)).copied().flatten() else {
                 continue;
             };
@@ -111,23 +111,23 @@
     }
 
     /// Whether some age is not known.
-    pub fn has_unknown(&self, now: Duration) -> bool {
-        let mut known = self.known.values();
+    pub fn has_unknown_age(&self, now: Duration) -> bool {
+        let mut known = self.iter.values();
         known.any(|known| known.departure.age(now).is_none())
     }
 
     /// Ages by row, for a peer.
     pub fn ages(&self, now: Duration) -> DepartureAges {
         let age = |known: &Departed| known.departure.age(now).map(|age| age.as_millis() as u64);
-        let known = self.known.iter();
+        let known = self.iter.iter();
         known
             .map(|(key, known)| (row_key(key), age(known)))
             .collect()
     }
 
     /// Who departs, and since when.
-    pub fn known(&self) -> impl Iterator<Item = (&Member, Departure)> {
-        let known = self.known.values();
+    pub fn iter(&self) -> impl Iterator<Item = (&Member, Departure)> {
+        let known = self.iter.values();
         known.map(|known| (&known.member, known.departure))
     }
 }
--- a/src/node/configuration/store.rs
+++ b/src/node/configuration/store.rs
@@ -8,7 +8,7 @@
 use slog::Logger;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::PRIMARY;
+use super::PRIMARY_PREFIX;
 use crate::borders::table::{RESOURCE_PREFIX, Revision, Row, Scan, Section};
 use crate::decisions::duty::Duty;
 use crate::declarations::check;
@@ -17,7 +17,7 @@
 use crate::declarations::snapshot::{Primary, Snapshot, Stored};
 use crate::events;
 use crate::node::duty::DUTY;
-use crate::node::news::Question;
+use crate::node::news::ScanRequest;
 
 /// A row, and when it was taken.
 struct Known {
@@ -31,13 +31,13 @@
     revision: Revision,
     rows: BTreeMap<Arc<str>, Known>,
     /// Counts what was taken, in the order in which it came.
-    taken: u64,
+    sequence: u64,
     /// Kept beside the rows, so that a change costs what it changes.
     resources: BTreeMap<Key, Stored>,
     primaries: BTreeMap<Arc<str>, Primary>,
     duties: BTreeMap<Arc<str>, Duty>,
     /// Revisions at which sections were last known whole.
-    whole: BTreeMap<Section, Revision>,
+    complete_sections: BTreeMap<Section, Revision>,
     /// Changes with every row that is there and its value, whatever the order they came
     /// in.
     digest: u64,
@@ -53,18 +53,18 @@
     }
 
     /// How much was taken so far, for [`Store::taken_after`].
-    pub fn taken(&self) -> u64 {
-        self.taken
+    pub fn sequence(&self) -> u64 {
+        self.sequence
     }
 
     /// Revisions at which sections were last known whole.
-    pub fn whole(&self) -> &BTreeMap<Section, Revision> {
-        &self.whole
+    pub fn complete_sections(&self) -> &BTreeMap<Section, Revision> {
+        &self.complete_sections
     }
 
     /// Takes rows written after `since`, none of them missing. False if they
     /// are old or leave a gap. What is no valid resource is left out and logged.
-    pub fn take(&mut self, since: Revision, scan: &Scan, log: &Logger) -> bool {
+    pub fn apply(&mut self, since: Revision, scan: &Scan, log: &Logger) -> bool {
         if since > self.revision {
             return false;
         }
@@ -75,11 +75,11 @@
         let mut news = self.gone(scan, &whole);
         let told = scan.rows.iter();
         news.extend(told.filter_map(|row| self.news(row, &whole)));
-        self.whole.extend(whole);
+        self.complete_sections.extend(whole);
         if scan.head <= self.revision && news.is_empty() {
             return false;
         }
-        self.taken += 1;
+        self.sequence += 1;
         for row in news {
             self.put(row, log);
         }
@@ -91,7 +91,7 @@
     /// does this one, unless its rows changed meanwhile.
     fn confirm(&mut self, digest: u64, whole: BTreeMap<Section, Revision>) {
         if digest == self.digest {
-            self.whole.extend(whole);
+            self.complete_sections.extend(whole);
         }
     }
 
@@ -104,7 +104,10 @@
 
     /// Revision as of which a section is known whole; the default where it is not.
     fn whole_at(&self, section: Section) -> Revision {
-        self.whole.get(&section).copied().unwrap_or_default()
+        self.complete_sections
+            .get(&section)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Rows that are not there any more, since a section that is known whole lacks them.
@@ -155,7 +158,7 @@
             let fields: [(_, &dyn std::fmt::Display); 2] = [("row", &row.key), ("error", &error)];
             events::emit(log, &events::BAD_ROW, &fields);
         }
-        let taken = self.taken;
+        let taken = self.sequence;
         self.digest ^= mark(&row);
         let known = self.rows.insert(row.key.clone(), Known { row, taken });
         self.digest ^= known.map_or(0, |known| mark(&known.row));
@@ -164,7 +167,7 @@
     /// Takes over what one row declares.
     fn declare(&mut self, row: &Row) -> Result<(), String> {
         let revision = row.revision;
-        if let Some(group) = row.key.strip_prefix(PRIMARY) {
+        if let Some(group) = row.key.strip_prefix(PRIMARY_PREFIX) {
             self.primaries.remove(group);
             let told = parsed::<Primary>(row)?;
             let primary = told.map(|told| (group.into(), Primary { revision, ..told }));
@@ -192,21 +195,21 @@
     }
 
     /// What a peer does not have yet.
-    pub fn answer(&self, question: &Question) -> Scan {
+    pub fn scan_for_peer(&self, question: &ScanRequest) -> Scan {
         match question.digest == self.digest {
             true => self.same(),
-            false => self.scan(question.since),
+            false => self.scan_since(question.since),
         }
     }
 
     /// What a follower with this digest does not have yet: all, or what was taken after a
     /// moment, whatever its revisions.
-    pub fn follow(&self, digest: u64, after: Option<u64>) -> Scan {
+    pub fn scan_for_follower(&self, digest: u64, after: Option<u64>) -> Scan {
         if digest == self.digest {
             return self.same();
         }
         let Some(after) = after else {
-            return self.scan(Revision::NONE);
+            return self.scan_since(Revision::NONE);
         };
         let newer = self.rows.values().filter(|known| known.taken > after);
         Scan {
@@ -220,20 +223,20 @@
     fn same(&self) -> Scan {
         Scan {
             head: self.revision,
-            whole: self.whole.clone(),
+            whole: self.complete_sections.clone(),
             same_as: Some(self.digest),
             ..Scan::default()
         }
     }
 
-    pub fn scan(&self, since: Revision) -> Scan {
+    pub fn scan_since(&self, since: Revision) -> Scan {
         let rows = self.rows.values().map(|known| &known.row);
         let newer = rows.filter(|row| row.revision > since);
         Scan {
             head: self.revision,
             rows: newer.cloned().collect(),
             whole: match since {
-                Revision::NONE => self.whole.clone(),
+                Revision::NONE => self.complete_sections.clone(),
                 _ => BTreeMap::new(),
             },
             ..Scan::default()
--- a/src/node/driver/acting.rs
+++ b/src/node/driver/acting.rs
@@ -141,7 +141,7 @@
                     // Members tell by themselves who leads; the duty is on record.
                     return None;
                 }
-                let record = peers::record(self.context.clone(), id.clone(), term, name);
+                let record = peers::record_primary(self.context.clone(), id.clone(), term, name);
                 tokio::task::spawn_local(record);
             }
             Action::Log(note) => self.note(id, &owned.group, &note),
@@ -185,7 +185,8 @@
         let others = owners.filter(|listing| listing.name != *own);
         for listing in others.take(MOST_ASKED) {
             let near = listing.domain == self.context.settings.domain;
-            let asked = peers::opinion(self.context.clone(), listing.clone(), id.clone(), term);
+            let asked =
+                peers::fetch_opinion(self.context.clone(), listing.clone(), id.clone(), term);
             let from = listing.name.clone();
             let context = self.context.clone();
             let group = id.clone();
--- a/src/node/driver/reaching.rs
+++ b/src/node/driver/reaching.rs
@@ -80,7 +80,8 @@
         let warned = alert_targets(&boxes, &settings.name, &settings.domain, &mut rand::rng());
         for neighbour in warned {
             self.context.metrics.cut_warnings.add(1, &[]);
-            let warning = peers::warn(self.context.clone(), neighbour.address.clone());
+            let warning =
+                peers::send_partition_alert(self.context.clone(), neighbour.address.clone());
             tokio::task::spawn_local(warning);
         }
     }
@@ -166,7 +167,7 @@
 /// the same time: in a cut some say nothing.
 async fn reaches(context: Rc<Context>, group: Arc<str>, owners: Vec<Arc<str>>) -> Option<bool> {
     let asked = owners.iter();
-    let asked = asked.map(|owner| peers::reaches(&context, owner, &group));
+    let asked = asked.map(|owner| peers::fetch_reach(&context, owner, &group));
     let words = futures::future::join_all(asked).await;
     words.into_iter().flatten().next()
 }
--- a/src/node/exchange.rs
+++ b/src/node/exchange.rs
@@ -62,12 +62,12 @@
 
 impl Exchange {
     /// Whether its answer shows that the member still leads.
-    pub fn proves_lead(&self) -> bool {
+    pub fn confirms_primary(&self) -> bool {
         self.effect == Effect::Writes || self.on_primary
     }
 
     /// The same when `spent` of its time has passed; none when all has.
-    pub fn after(&self, spent: Duration) -> Option<Cow<'_, Self>> {
+    pub fn with_elapsed(&self, spent: Duration) -> Option<Cow<'_, Self>> {
         if spent.is_zero() {
             return Some(Cow::Borrowed(self));
         }
@@ -146,7 +146,7 @@
     }
 
     /// Whether it would come of a cut between this box and the members or owners.
-    pub fn speaks_for_cut(&self) -> bool {
+    pub fn suggests_partition(&self) -> bool {
         match self {
             Failure::NotRun(refusal) => {
                 matches!(refusal.reason, Reason::CutOff | Reason::Stale)
--- a/src/node/follow.rs
+++ b/src/node/follow.rs
@@ -11,7 +11,7 @@
 
 use super::configuration::{Request, Sender};
 use super::context::Context;
-use super::news::{Answer, Cursor, State};
+use super::news::{Cursor, FollowAnswer, FollowRequest};
 use super::peers;
 use crate::borders::roster::Listing;
 use crate::borders::table::Polling;
@@ -30,20 +30,23 @@
 const START_PAUSE: Duration = Duration::from_millis(30);
 
 /// Answers a follower as soon as there is news.
-pub async fn answer(
-    state: State,
+pub async fn answer_follower(
+    state: FollowRequest,
     keeper: &Sender,
     mut snapshot: watch::Receiver<Arc<Snapshot>>,
     mut boxes: watch::Receiver<Arc<[Listing]>>,
-) -> Option<Answer> {
+) -> Option<FollowAnswer> {
     let end = Instant::now() + WAIT;
     loop {
         snapshot.mark_unchanged();
         boxes.mark_unchanged();
         let (reply, answered) = oneshot::channel();
-        let _ = keeper.send(Request::Follow { state, reply });
+        let _ = keeper.send(Request::Follow {
+            request: state,
+            reply,
+        });
         let answer = answered.await.ok()?;
-        if answer.is_news(&state) || Instant::now() >= end {
+        if answer.has_changes_for(&state) || Instant::now() >= end {
             return Some(answer);
         }
         tokio::select! {
@@ -55,7 +58,7 @@
 }
 
 /// Asks the readers of this failure domain in turn, and has the table rest meanwhile.
-pub async fn follow(context: Rc<Context>, keeper: Sender) {
+pub async fn run(context: Rc<Context>, keeper: Sender) {
     let mut boxes = context.boxes.clone();
     let settings = Settings::new(context.settings.apply, context.settings.first_start);
     let mut follower = Follower {
@@ -154,11 +157,11 @@
     }
 
     /// What is asked of a reader; none when the keeper has ended.
-    async fn question(&mut self, reader: &Arc<str>) -> Option<State> {
+    async fn question(&mut self, reader: &Arc<str>) -> Option<FollowRequest> {
         let (reply, known) = oneshot::channel();
-        let _ = self.keeper.send(Request::Known { reply });
+        let _ = self.keeper.send(Request::Digest { reply });
         let (digest, boxes) = known.await.ok()?;
-        Some(State {
+        Some(FollowRequest {
             cursor: self
                 .told
                 .get_mut(reader)
@@ -168,7 +171,7 @@
         })
     }
 
-    fn take(&mut self, reader: &Arc<str>, answer: Answer) {
+    fn take(&mut self, reader: &Arc<str>, answer: FollowAnswer) {
         let age = answer.heard_ms.map(Duration::from_millis);
         let before = self.told.remove(reader);
         let told = Told {
@@ -178,6 +181,6 @@
         };
         self.told.insert(reader.clone(), told);
         self.readers.record_answer(reader, age, self.context.now());
-        let _ = self.keeper.send(Request::Followed(answer));
+        let _ = self.keeper.send(Request::ReaderAnswer(answer));
     }
 }
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -10,7 +10,7 @@
 
 /// News that one peer tells another: the rows written after `since`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     pub from: Arc<str>,
     pub since: Revision,
     pub scan: Scan,
@@ -18,7 +18,7 @@
 
 /// What a peer has, when it asks for the rest.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Question {
+pub struct ScanRequest {
     /// It has all rows up to this revision; the default where that can't be said.
     pub since: Revision,
     /// Digest of all its rows.
@@ -35,7 +35,7 @@
 
 /// What a follower has, when it asks for the rest.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct State {
+pub struct FollowRequest {
     /// None before the reader's first answer.
     pub cursor: Option<Cursor>,
     /// Digest of all rows.
@@ -46,7 +46,7 @@
 
 /// What the follower lacks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Answer {
+pub struct FollowAnswer {
     pub cursor: Cursor,
     pub scan: Scan,
     /// Digest of all the reader's rows.
@@ -58,9 +58,9 @@
     pub heard_ms: Option<u64>,
 }
 
-impl Answer {
+impl FollowAnswer {
     /// Whether it is worth sending before its time.
-    pub fn is_news(&self, state: &State) -> bool {
+    pub fn has_changes_for(&self, state: &FollowRequest) -> bool {
         let first = state.cursor.is_none_or(|c| c.epoch != self.cursor.epoch);
         first || !self.scan.rows.is_empty() || self.boxes.is_some() || self.heard_ms.is_none()
     }
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -299,7 +299,7 @@
                     position: answer.position,
                     proves_primary: place.grant.primary
                         && answer.verdict == Verdict::Done
-                        && exchange.proves_lead(),
+                        && exchange.confirms_primary(),
                 });
                 self.budget.borrow_mut().earn();
                 let took = (self.context.now() - began).as_secs_f64() * 1_000.0;
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -7,11 +7,11 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::configuration::PRIMARY;
+use super::configuration::PRIMARY_PREFIX;
 use super::context::Context;
 use super::exchange::{Effect, Exchange, Failure, Reply};
 use super::limits;
-use super::news::{Answer, News, Question, State};
+use super::news::{FollowAnswer, FollowRequest, ScanRequest, Update};
 use crate::borders::roster::Listing;
 use crate::borders::table::{Commit, Revision, Scan, Verdict, Write};
 use crate::decisions::limit::Loan;
@@ -86,12 +86,12 @@
 }
 
 /// Tells an owner that a held connection is no longer wanted.
-pub async fn abandon(context: Rc<Context>, owner: Arc<str>, lease: u64) {
+pub async fn abandon_lease(context: Rc<Context>, owner: Arc<str>, lease: u64) {
     let _: Result<(), _> = call(&context, &owner, ABANDON, &lease, SMALL_WAIT).await;
 }
 
 /// Whether another owner suspects the primary of a group, none if it can't tell.
-pub async fn opinion(
+pub async fn fetch_opinion(
     context: Rc<Context>,
     owner: Listing,
     group: Arc<str>,
@@ -104,13 +104,13 @@
 }
 
 /// Whether an owner reaches a majority of a group's members, none if it can't tell.
-pub async fn reaches(context: &Context, owner: &str, group: &Arc<str>) -> Option<bool> {
+pub async fn fetch_reach(context: &Context, owner: &str, group: &Arc<str>) -> Option<bool> {
     let answer: Result<Option<bool>, _> = call(context, owner, REACH, group, REACH_WAIT).await;
     answer.ok().flatten()
 }
 
 /// Tells a box of the same failure domain that the others are silent.
-pub async fn warn(context: Rc<Context>, peer: Arc<str>) {
+pub async fn send_partition_alert(context: Rc<Context>, peer: Arc<str>) {
     let from = &context.settings.name;
     let _: Result<(), _> = call(&context, &peer, WARN, from, SMALL_WAIT).await;
 }
@@ -132,11 +132,11 @@
     done.unwrap_or(false)
 }
 
-pub async fn tell(context: Rc<Context>, peer: Arc<str>, news: News) {
+pub async fn push_update(context: Rc<Context>, peer: Arc<str>, news: Update) {
     let _: Result<(), _> = call(&context, &peer, NEWS, &news, SMALL_WAIT).await;
 }
 
-pub async fn scan(context: &Context, peer: &str, question: &Question) -> Option<Scan> {
+pub async fn fetch_rows(context: &Context, peer: &str, question: &ScanRequest) -> Option<Scan> {
     call(context, peer, SCAN, question, SMALL_WAIT).await.ok()
 }
 
@@ -144,19 +144,19 @@
 pub async fn follow(
     context: &Context,
     reader: &str,
-    state: &State,
+    state: &FollowRequest,
     wait: Duration,
-) -> Option<Answer> {
+) -> Option<FollowAnswer> {
     call(context, reader, FOLLOW, state, wait).await.ok()
 }
 
-pub async fn boxes(context: &Context, peer: &str) -> Option<Vec<Listing>> {
+pub async fn fetch_boxes(context: &Context, peer: &str) -> Option<Vec<Listing>> {
     call(context, peer, BOXES, &(), SMALL_WAIT).await.ok()
 }
 
 /// Records a group's new primary in the table, until the table answers.
-pub async fn record(context: Rc<Context>, group: Arc<str>, term: u64, member: Arc<str>) {
-    let key: Arc<str> = format!("{PRIMARY}{group}").into();
+pub async fn record_primary(context: Rc<Context>, group: Arc<str>, term: u64, member: Arc<str>) {
+    let key: Arc<str> = format!("{PRIMARY_PREFIX}{group}").into();
     for _ in 0..RECORD_TRIES {
         let known = context.snapshot.borrow().primaries.get(&group).cloned();
         if known.as_ref().is_some_and(|primary| primary.term >= term) {
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, watch};
 
 use super::api::{self, Api, Work};
-use super::configuration::Keeper;
+use super::configuration::Updater;
 use super::context::Context;
 use super::driver::Driver;
 use super::entry::Entry;
@@ -155,21 +155,21 @@
     });
     let api = Arc::new(Api {
         name: context.settings.name.clone(),
-        admin: context.settings.admin.clone(),
+        admin_hash: context.settings.admin.clone(),
         decisions: decisions_tx,
-        keeper: keeper_tx.clone(),
+        configuration: keeper_tx.clone(),
         work: work_tx,
         snapshot: snapshot.clone(),
         boxes,
         leaving,
         registry: context.metrics.registry(),
-        nonces: AtomicU64::new(rand::random::<u32>().into()),
+        next_nonce: AtomicU64::new(rand::random::<u32>().into()),
     });
     let owner = Rc::new(Owner::new(context.clone(), pool));
     let log = &context.log;
     let name = &context.settings.name;
     events::emit(log, &events::STARTED, &[("box", name)]);
-    let keeper = Keeper::new(context.clone(), keeper_rx, snapshot_tx, boxes_tx);
+    let keeper = Updater::new(context.clone(), keeper_rx, snapshot_tx, boxes_tx);
     let mut background = vec![
         tokio::task::spawn_local(Driver::new(context.clone(), decisions, decisions_rx).run()),
         tokio::task::spawn_local(keeper.run()),
@@ -186,7 +186,7 @@
         }));
     }
     if context.settings.follow {
-        let following = follow::follow(context.clone(), keeper_tx);
+        let following = follow::run(context.clone(), keeper_tx);
         background.push(tokio::task::spawn_local(following));
     }
     let mut configured = snapshot;
--- a/src/node/session.rs
+++ b/src/node/session.rs
@@ -81,7 +81,7 @@
         match held.owner {
             None => self.owner.abandon(held.id),
             Some(address) => {
-                let abandoned = peers::abandon(self.context.clone(), address, held.id);
+                let abandoned = peers::abandon_lease(self.context.clone(), address, held.id);
                 tokio::task::spawn_local(abandoned);
             }
         }
@@ -158,7 +158,7 @@
         if let Failure::NotRun(_) = failure {
             self.context.metrics.not_run.add(1, &[]);
         }
-        if failure.speaks_for_cut() {
+        if failure.suggests_partition() {
             let _ = self.context.decisions.send(Message::Refused);
         }
         self.held = None;
@@ -199,7 +199,7 @@
                 continue;
             }
             let spent = self.context.now() - start;
-            let Some(rest) = exchange.after(spent) else {
+            let Some(rest) = exchange.with_elapsed(spent) else {
                 break;
             };
             let own = owner.name == self.context.settings.name;
--- a/tests/platform/silence.rs
+++ b/tests/platform/silence.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use larkfall::http::{self, Client};
-use larkfall::node::news::Question;
+use larkfall::node::news::ScanRequest;
 use larkfall::node::peers;
 use larkfall::platform::table;
 use tokio::io::AsyncReadExt;
@@ -97,7 +97,7 @@
     let control = place.control;
     let _box = Process::start(place);
     let client = Client::new([127, 0, 0, 1].into());
-    let question = rmp_serde::to_vec(&Question {
+    let question = rmp_serde::to_vec(&ScanRequest {
         since: 0.into(),
         digest: 1,
     });
--- a/tests/unit/configuration.rs
+++ b/tests/unit/configuration.rs
@@ -7,7 +7,7 @@
 use larkfall::borders::table::{Revision, Row, Scan, Section};
 use larkfall::decisions::duty::{Claim, Duty};
 use larkfall::node::configuration::Store;
-use larkfall::node::news::Question;
+use larkfall::node::news::ScanRequest;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -43,7 +43,7 @@
 }
 
 fn take(store: &mut Store, scan: &Scan) -> bool {
-    store.take(
+    store.apply(
         Revision::NONE,
         scan,
         &Logger::root(slog::Discard, slog::o!()),
@@ -52,14 +52,14 @@
 
 /// Returns the value of a key; none if there is no such row.
 fn value(store: &Store, key: &str) -> Option<u64> {
-    let rows = store.scan(Revision::NONE).rows;
+    let rows = store.scan_since(Revision::NONE).rows;
     let row = rows.iter().find(|row| *row.key == *key)?;
     row.value.as_ref()?["value"].as_u64()
 }
 
 /// Returns the keys that have a value.
 fn present(store: &Store) -> Vec<Arc<str>> {
-    let rows = store.scan(Revision::NONE).rows.into_iter();
+    let rows = store.scan_since(Revision::NONE).rows.into_iter();
     let present = rows.filter(|row| row.value.is_some());
     present.map(|row| row.key).collect()
 }
@@ -125,7 +125,7 @@
         &scan(4, &[row(DELETED, 4, Some(1)), row(KEPT, 4, Some(1))]),
     );
     expect_that!(other.digest(), not(eq(reader.digest())));
-    take(&mut other, &reader.scan(Revision::NONE));
+    take(&mut other, &reader.scan_since(Revision::NONE));
     expect_that!(present(&other), eq(&present(&reader)));
     expect_that!(other.digest(), eq(reader.digest()));
 }
@@ -177,9 +177,9 @@
     for store in [&mut reader, &mut follower] {
         take(store, &scan_in(1));
     }
-    let taken = reader.taken();
+    let taken = reader.sequence();
     take(&mut reader, &scan_in(2));
-    let answer = reader.follow(follower.digest(), Some(taken));
+    let answer = reader.scan_for_follower(follower.digest(), Some(taken));
     take(&mut follower, &answer);
     let known = follower.snapshot().duties["g"].revision;
     expect_that!(known, eq(Revision::new(2, 20)));
@@ -355,9 +355,9 @@
         let peer = &self.boxes[from];
         let continues = follows && taken > 0 && life == peer.life;
         let scan = match continues {
-            true => peer.store.follow(asked, Some(taken)),
-            false if follows => peer.store.follow(asked, None),
-            false => peer.store.answer(&Question {
+            true => peer.store.scan_for_follower(asked, Some(taken)),
+            false if follows => peer.store.scan_for_follower(asked, None),
+            false => peer.store.scan_for_peer(&ScanRequest {
                 since: Revision::NONE,
                 digest: asked,
             }),
@@ -369,7 +369,7 @@
             to,
             asked,
             floor: if is_whole { peer.floor } else { 0 },
-            taken: peer.store.taken(),
+            taken: peer.store.sequence(),
             scan,
         });
     }
--- a/tests/unit/copies.rs
+++ b/tests/unit/copies.rs
@@ -14,7 +14,7 @@
 use larkfall::declarations::resource::Key;
 use larkfall::declarations::snapshot::Snapshot;
 use larkfall::node::configuration::{Departures, Store};
-use larkfall::node::news::Question;
+use larkfall::node::news::ScanRequest;
 use larkfall::platform::store::Rows;
 use larkfall::platform::table::cache::{Cache, Written};
 use larkfall::platform::table::feed::Feed;
@@ -183,19 +183,19 @@
     }
 
     fn accept(&mut self, scan: &Scan, now: Duration) {
-        if !self.store.take(Revision::NONE, scan, &log()) {
+        if !self.store.apply(Revision::NONE, scan, &log()) {
             return;
         }
         let snapshot = self.store.snapshot();
         let change = (&self.snapshot, &snapshot);
         let heard = Some(Duration::ZERO);
         self.departures
-            .take(change, &DepartureAges::new(), heard, now);
+            .update(change, &DepartureAges::new(), heard, now);
         self.snapshot = snapshot;
     }
 
-    fn answer(&self, question: &Question) -> Scan {
-        self.store.answer(question)
+    fn answer(&self, question: &ScanRequest) -> Scan {
+        self.store.scan_for_peer(question)
     }
 
     fn duty(&self) -> Option<&Duty> {
@@ -215,7 +215,7 @@
     /// Returns the members in use.
     fn used(&self) -> BTreeSet<Arc<str>> {
         let snapshot = self.snapshot.clone();
-        let applied = snapshot.with_departures(self.departures.known());
+        let applied = snapshot.with_departures(self.departures.iter());
         let plans = applied.groups.values();
         let members = plans.flat_map(|plan| plan.members.clone());
         let used = members.filter(|member| !member.leaving);
@@ -339,7 +339,7 @@
     }
 
     fn ask(&mut self, to: usize, from: usize) {
-        let question = Question {
+        let question = ScanRequest {
             since: Revision::NONE,
             digest: self.boxes[to].store.digest(),
         };
@@ -372,7 +372,7 @@
             // A member that was removed without an announcement may return.
             let said = reader
                 .departures
-                .known()
+                .iter()
                 .filter(|(member, _)| member.leaving);
             reader
                 .left
--- a/tests/unit/leaving.rs
+++ b/tests/unit/leaving.rs
@@ -191,7 +191,7 @@
         ..Scan::default()
     };
     let mut store = Store::default();
-    store.take(
+    store.apply(
         Revision::NONE,
         &scan,
         &Logger::root(slog::Discard, slog::o!()),
@@ -199,14 +199,14 @@
     let empty = Snapshot::default();
     let snapshot = store.snapshot();
     let mut first = Departures::default();
-    first.take(
+    first.update(
         (&empty, &snapshot),
         &DepartureAges::new(),
         Some(ms(40)),
         ms(1_000),
     );
     // The age is counted from the first news; later news of the same announcement is ignored.
-    first.take(
+    first.update(
         (&empty, &snapshot),
         &DepartureAges::new(),
         Some(ms(0)),
@@ -216,12 +216,12 @@
     expect_that!(told[&row.key], some(eq(2_040)));
     // The second box started after the announcement, so its clock reads less than the age.
     let mut second = Departures::default();
-    second.take((&empty, &snapshot), &DepartureAges::new(), None, ms(10));
-    expect_that!(second.has_unknown(ms(10)), eq(true));
+    second.update((&empty, &snapshot), &DepartureAges::new(), None, ms(10));
+    expect_that!(second.has_unknown_age(ms(10)), eq(true));
     expect_that!(second.ages(ms(10))[&row.key], none());
-    expect_that!(second.learn(&told, ms(20)), eq(true));
+    expect_that!(second.merge_ages(&told, ms(20)), eq(true));
     expect_that!(second.ages(ms(30))[&row.key], some(eq(2_050)));
-    expect_that!(second.learn(&told, ms(40)), eq(false));
+    expect_that!(second.merge_ages(&told, ms(40)), eq(false));
 }
 
 /// Returns a snapshot of a table that declares a group of one member.
@@ -242,7 +242,7 @@
         ..Scan::default()
     };
     let log = Logger::root(slog::Discard, slog::o!());
-    store.take(Revision::NONE, &scan, &log);
+    store.apply(Revision::NONE, &scan, &log);
     store.snapshot()
 }
 
@@ -262,27 +262,27 @@
     let announced = declared(&mut store, Revision::new(1, 24), declaration(true, 5));
     let heard = Some(Duration::ZERO);
     let before = Snapshot::default();
-    departures.take(
+    departures.update(
         (&before, &announced),
         &DepartureAges::new(),
         heard,
         ms(1_000),
     );
     let copy = declared(&mut store, Revision::new(2, 20), declaration(false, 5));
-    departures.take((&announced, &copy), &DepartureAges::new(), heard, ms(2_000));
+    departures.update((&announced, &copy), &DepartureAges::new(), heard, ms(2_000));
     let leaving = |departures: &Departures, snapshot: &Snapshot| {
-        let applied = snapshot.clone().with_departures(departures.known());
+        let applied = snapshot.clone().with_departures(departures.iter());
         applied.groups["p/g"].members[0].leaving
     };
     expect_that!(leaving(&departures, &copy), eq(true));
     // The same announcement, written again, keeps its age.
     let again = declared(&mut store, Revision::new(2, 26), declaration(true, 5));
-    departures.take((&copy, &again), &DepartureAges::new(), heard, ms(3_000));
+    departures.update((&copy, &again), &DepartureAges::new(), heard, ms(3_000));
     let key: Arc<str> = "resource/member/p/g.m0".into();
     expect_that!(departures.ages(ms(3_000))[&key], some(eq(2_000)));
     // Within one era of the table, the member itself may withdraw its announcement.
     let stays = declared(&mut store, Revision::new(2, 30), declaration(false, 5));
-    departures.take((&again, &stays), &DepartureAges::new(), heard, ms(4_000));
+    departures.update((&again, &stays), &DepartureAges::new(), heard, ms(4_000));
     expect_that!(leaving(&departures, &stays), eq(false));
 }
 
@@ -293,20 +293,20 @@
     let mut departures = Departures::default();
     let announced = declared(&mut store, Revision::new(1, 24), declaration(true, 5));
     let heard = Some(Duration::ZERO);
-    departures.take(
+    departures.update(
         (&Snapshot::default(), &announced),
         &DepartureAges::new(),
         heard,
         ms(1_000),
     );
     let started = declared(&mut store, Revision::new(2, 20), declaration(false, 6));
-    departures.take(
+    departures.update(
         (&announced, &started),
         &DepartureAges::new(),
         heard,
         ms(2_000),
     );
-    expect_that!(departures.known().count(), eq(0));
+    expect_that!(departures.iter().count(), eq(0));
 }
 
 /// Guards against a box that starts after a restored copy and counts the drain time from the
@@ -317,7 +317,7 @@
     let announced = declared(&mut store, Revision::new(2, 26), declaration(true, 5));
     let mut departures = Departures::default();
     let heard = Some(Duration::ZERO);
-    departures.take(
+    departures.update(
         (&Snapshot::default(), &announced),
         &DepartureAges::new(),
         heard,
@@ -325,10 +325,10 @@
     );
     let key: Arc<str> = "resource/member/p/g.m0".into();
     let older = DepartureAges::from([(key.clone(), Some(4_000))]);
-    expect_that!(departures.learn(&older, ms(200)), eq(true));
+    expect_that!(departures.merge_ages(&older, ms(200)), eq(true));
     expect_that!(departures.ages(ms(200))[&key], some(eq(4_000)));
     let younger = DepartureAges::from([(key.clone(), Some(10))]);
-    expect_that!(departures.learn(&younger, ms(300)), eq(false));
+    expect_that!(departures.merge_ages(&younger, ms(300)), eq(false));
     expect_that!(departures.ages(ms(300))[&key], some(eq(4_100)));
 }
 
