--- a/src/node/api.rs
+++ b/src/node/api.rs
@@ -22,7 +22,7 @@
 use super::configuration;
 use super::exchange::{Exchange, Failure, Reply};
 use super::message::{Dump, Message, Sender};
-use super::news::Update;
+use super::updates::Update;
 use super::{follow, limits, peers};
 use crate::borders::roster::Listing;
 use crate::borders::table::{Commit, Revision, TableError, Verdict};
--- a/src/node/api/resources.rs
+++ b/src/node/api/resources.rs
@@ -20,7 +20,7 @@
 use crate::declarations::resource::{Key, Kind, Spec};
 use crate::declarations::snapshot::{Snapshot, Stored, group_id};
 use crate::node::configuration;
-use crate::node::news::ScanRequest;
+use crate::node::updates::ScanRequest;
 use crate::secret;
 
 /// Time that an accepted change gets to come into force on the box that took it.
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -17,8 +17,8 @@
 
 use super::context::Context;
 use super::message::Message;
-use super::news::{Cursor, FollowAnswer, FollowRequest, ScanRequest, Update};
 use super::peers;
+use super::updates::{Cursor, FollowAnswer, FollowRequest, ScanRequest, Update};
 use crate::borders::roster::Listing;
 use crate::borders::table::{Revision, Scan, Section};
 use crate::declarations::resource::Key;
--- a/src/node/configuration/store.rs
+++ b/src/node/configuration/store.rs
@@ -17,7 +17,7 @@
 use crate::declarations::snapshot::{Primary, Snapshot, Stored};
 use crate::events;
 use crate::node::duty::DUTY;
-use crate::node::news::ScanRequest;
+use crate::node::updates::ScanRequest;
 
 /// A row, and when it was taken.
 struct Known {
--- a/src/node/follow.rs
+++ b/src/node/follow.rs
@@ -11,8 +11,8 @@
 
 use super::configuration::{Request, Sender};
 use super::context::Context;
-use super::news::{Cursor, FollowAnswer, FollowRequest};
 use super::peers;
+use super::updates::{Cursor, FollowAnswer, FollowRequest};
 use crate::borders::roster::Listing;
 use crate::borders::table::Polling;
 use crate::decisions::readers::{Schedule, Settings};
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -11,7 +11,7 @@
 use super::context::Context;
 use super::exchange::{Effect, Exchange, Failure, Reply};
 use super::limits;
-use super::news::{FollowAnswer, FollowRequest, ScanRequest, Update};
+use super::updates::{FollowAnswer, FollowRequest, ScanRequest, Update};
 use crate::borders::roster::Listing;
 use crate::borders::table::{Commit, Revision, Scan, Verdict, Write};
 use crate::decisions::limit::Loan;
--- a/tests/platform/silence.rs
+++ b/tests/platform/silence.rs
@@ -4,8 +4,8 @@
 
 use googletest::prelude::*;
 use larkfall::http::{self, Client};
-use larkfall::node::news::ScanRequest;
 use larkfall::node::peers;
+use larkfall::node::updates::ScanRequest;
 use larkfall::platform::table;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
--- a/tests/unit/configuration.rs
+++ b/tests/unit/configuration.rs
@@ -7,7 +7,7 @@
 use larkfall::borders::table::{Revision, Row, Scan, Section};
 use larkfall::decisions::duty::{Claim, Duty};
 use larkfall::node::configuration::Store;
-use larkfall::node::news::ScanRequest;
+use larkfall::node::updates::ScanRequest;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/tests/unit/copies.rs
+++ b/tests/unit/copies.rs
@@ -14,7 +14,7 @@
 use larkfall::declarations::resource::Key;
 use larkfall::declarations::snapshot::Snapshot;
 use larkfall::node::configuration::{Departures, Store};
-use larkfall::node::news::ScanRequest;
+use larkfall::node::updates::ScanRequest;
 use larkfall::platform::store::Rows;
 use larkfall::platform::table::cache::{Cache, Written};
 use larkfall::platform::table::feed::Feed;
