--- a/src/node/api.rs
+++ b/src/node/api.rs
@@ -1,5 +1,5 @@
-//! The box's HTTP side: the resource API for operators, the peers' endpoints,
-//! readiness, metrics and the dump.
+//! The box's HTTP server: the resource API for operators, the endpoints for peers, readiness,
+//! metrics and a dump of the box's state.
 
 mod resources;
 
@@ -31,7 +31,7 @@
 use crate::declarations::snapshot::Snapshot;
 use crate::metrics;
 
-/// Work that needs the box's own thread.
+/// Work that is passed from the HTTP server to the thread that runs the box.
 pub enum Work {
     Serve(Box<Exchange>, oneshot::Sender<Result<Reply, Failure>>),
     Abandon(u64),
@@ -39,10 +39,10 @@
     Commit(Commit, oneshot::Sender<Result<Verdict, TableError>>),
 }
 
-/// What the handlers share.
+/// State that the handlers share.
 pub struct Api {
     pub name: Arc<str>,
-    /// Hash of the token that may declare partners.
+    /// Hash of the administrator's token, which may declare partners.
     pub admin_hash: Option<Arc<str>>,
     pub decisions: Sender,
     pub configuration: configuration::Sender,
@@ -51,12 +51,13 @@
     pub boxes: watch::Receiver<Arc<[Listing]>>,
     pub leaving: watch::Receiver<bool>,
     pub registry: Registry,
+    /// Number that makes the nonce of the next commit unique.
     pub next_nonce: AtomicU64,
 }
 
 type Shared = State<Arc<Api>>;
 
-/// Serves until the listener fails.
+/// Serves the whole API until the listener fails.
 pub async fn serve(api: Arc<Api>, listener: TcpListener) -> std::io::Result<()> {
     let router = Router::new()
         .route(peers::EXCHANGE, post(exchange))
@@ -86,102 +87,103 @@
     axum::serve(listener, router).await
 }
 
-/// Serves the metrics alone until the listener fails.
+/// Serves only the metrics until the listener fails.
 pub async fn serve_metrics(registry: Registry, listener: TcpListener) -> std::io::Result<()> {
     let text = move || async move { metrics::render(&registry) };
     axum::serve(listener, Router::new().route("/metrics", get(text))).await
 }
 
-// Peers.
+// Endpoints for peers.
 
-fn packed<T: Serialize>(value: &T) -> Response {
-    let bytes = rmp_serde::to_vec(value).expect("messages are plain data");
+fn pack<T: Serialize>(value: &T) -> Response {
+    let bytes = rmp_serde::to_vec(value).expect("messages can be serialized");
     bytes.into_response()
 }
 
-fn unpacked<T: DeserializeOwned>(body: &Bytes) -> Result<T, StatusCode> {
+fn unpack<T: DeserializeOwned>(body: &Bytes) -> Result<T, StatusCode> {
     rmp_serde::from_slice(body).map_err(|_| StatusCode::BAD_REQUEST)
 }
 
 async fn exchange(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
-    let exchange: Box<Exchange> = unpacked(&body)?;
+    let exchange: Box<Exchange> = unpack(&body)?;
     let (reply, answer) = oneshot::channel();
     let _ = api.work.send(Work::Serve(exchange, reply));
-    let served = answer.await.unwrap_or(Err(Failure::NotOwner));
-    Ok(packed(&served))
+    let answer = answer.await.unwrap_or(Err(Failure::NotOwner));
+    Ok(pack(&answer))
 }
 
 async fn abandon(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
-    let _ = api.work.send(Work::Abandon(unpacked(&body)?));
-    Ok(packed(&()))
+    let _ = api.work.send(Work::Abandon(unpack(&body)?));
+    Ok(pack(&()))
 }
 
 async fn opinion(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
-    let (group, term) = unpacked(&body)?;
+    let (group, term) = unpack(&body)?;
     let (reply, answer) = oneshot::channel();
     let _ = api.decisions.send(Message::Opinion { group, term, reply });
-    Ok(packed(&answer.await.ok().flatten()))
+    Ok(pack(&answer.await.ok().flatten()))
 }
 
 async fn reach(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
-    let group = unpacked(&body)?;
+    let group = unpack(&body)?;
     let (reply, answer) = oneshot::channel();
     let _ = api.decisions.send(Message::Reach { group, reply });
-    Ok(packed(&answer.await.ok().flatten()))
+    Ok(pack(&answer.await.ok().flatten()))
 }
 
 async fn revoke(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
-    let group = unpacked(&body)?;
-    let (reply, given_up) = oneshot::channel();
+    let group = unpack(&body)?;
+    let (reply, revoked) = oneshot::channel();
     let _ = api.decisions.send(Message::Revoke { group, reply });
-    let given_up = given_up.await;
-    let given_up = given_up.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
-    Ok(packed(&given_up))
+    let revoked = revoked.await;
+    let revoked = revoked.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
+    Ok(pack(&revoked))
 }
 
 async fn warn(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
-    let from = unpacked(&body)?;
+    let from = unpack(&body)?;
     let _ = api.decisions.send(Message::Warned { from });
-    Ok(packed(&()))
+    Ok(pack(&()))
 }
 
 async fn borrow(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
-    let question = unpacked(&body)?;
+    let request = unpack(&body)?;
     let (reply, answer) = oneshot::channel();
-    let _ = api.work.send(Work::Lend(question, reply));
-    Ok(packed(&answer.await.ok().flatten()))
+    let _ = api.work.send(Work::Lend(request, reply));
+    Ok(pack(&answer.await.ok().flatten()))
 }
 
 async fn follow(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
-    let question = unpacked(&body)?;
+    let request = unpack(&body)?;
     let (snapshot, boxes) = (api.snapshot.clone(), api.boxes.clone());
-    let answer = follow::answer_follower(question, &api.configuration, snapshot, boxes).await;
+    let answer = follow::answer_follower(request, &api.configuration, snapshot, boxes).await;
     let answer = answer.ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
-    Ok(packed(&answer))
+    Ok(pack(&answer))
 }
 
 async fn news(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
-    let news: Update = unpacked(&body)?;
-    let _ = api.configuration.send(configuration::Request::Update(news));
-    Ok(packed(&()))
+    let update: Update = unpack(&body)?;
+    let _ = api
+        .configuration
+        .send(configuration::Request::Update(update));
+    Ok(pack(&()))
 }
 
 async fn scan(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
-    let question = unpacked(&body)?;
+    let request = unpack(&body)?;
     let (reply, answer) = oneshot::channel();
-    let _ = api.configuration.send(configuration::Request::Scan {
-        request: question,
-        reply,
-    });
+    let _ = api
+        .configuration
+        .send(configuration::Request::Scan { request, reply });
     let scan = answer.await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
-    Ok(packed(&scan))
+    Ok(pack(&scan))
 }
 
 async fn boxes(State(api): Shared) -> Response {
-    packed(&api.boxes.borrow().to_vec())
+    pack(&api.boxes.borrow().to_vec())
 }
 
-// State.
+// Endpoints for operators' tools.
 
 async fn ready(State(api): Shared) -> (StatusCode, &'static str) {
     if *api.leaving.borrow() {
@@ -193,7 +195,7 @@
     (StatusCode::OK, "ready\n")
 }
 
-/// The revision in force on this box.
+/// Returns the revision in force on this box.
 async fn revision(State(api): Shared) -> Json<Revision> {
     Json(api.snapshot.borrow().revision)
 }
--- a/src/node/api/resources.rs
+++ b/src/node/api/resources.rs
@@ -1,4 +1,4 @@
-//! The resource API: operators declare, look and watch.
+//! The resource API, by which operators declare, list and watch resources.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -23,11 +23,12 @@
 use crate::node::updates::ScanRequest;
 use crate::secret;
 
-/// Time that an accepted change gets to come into force on the box that took it.
-const OWN_WAIT: Duration = Duration::from_secs(2);
-const WATCH_HOLD: Duration = Duration::from_secs(20);
+/// Time to wait until an accepted change is in force on this box.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time to wait for changes before a watch request is answered without any.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An error of the resource API.
+/// The body of an error response.
 #[derive(Debug, Serialize)]
 pub(super) struct Problem {
     error: String,
@@ -39,9 +40,9 @@
     found: Option<Revision>,
 }
 
-pub(super) type Refused = (StatusCode, Json<Problem>);
+pub(super) type ErrorResponse = (StatusCode, Json<Problem>);
 
-fn problem(status: StatusCode, error: impl Into<String>) -> Refused {
+fn error_response(status: StatusCode, error: impl Into<String>) -> ErrorResponse {
     let problem = Problem {
         error: error.into(),
         findings: Vec::new(),
@@ -51,8 +52,9 @@
     (status, Json(problem))
 }
 
-fn findings(findings: Vec<Finding>) -> Refused {
-    let (status, Json(problem)) = problem(StatusCode::UNPROCESSABLE_ENTITY, "invalid resource");
+fn invalid_resource(findings: Vec<Finding>) -> ErrorResponse {
+    let (status, Json(problem)) =
+        error_response(StatusCode::UNPROCESSABLE_ENTITY, "invalid resource");
     (
         status,
         Json(Problem {
@@ -62,9 +64,9 @@
     )
 }
 
-fn race(key: &Key, expected: Revision, found: Revision) -> Refused {
+fn version_conflict(key: &Key, expected: Revision, found: Revision) -> ErrorResponse {
     let error = format!("{key} has version {found}, not {expected}: somebody else changed it");
-    let (status, Json(problem)) = problem(StatusCode::CONFLICT, error);
+    let (status, Json(problem)) = error_response(StatusCode::CONFLICT, error);
     let (expected, found) = (Some(expected), Some(found));
     let problem = Problem {
         expected,
@@ -74,51 +76,52 @@
     (status, Json(problem))
 }
 
-/// Who calls, by the bearer token.
+/// The owner of a request's bearer token.
 #[derive(Clone, Debug)]
 enum Caller {
-    /// May declare partners, and nothing else.
+    /// The administrator, who may only declare partners.
     Admin,
-    /// Operator of one partner.
+    /// The operator of a partner.
     Operator(Arc<str>),
 }
 
 impl Caller {
-    /// Whether a resource is the caller's to see and change.
-    fn may(&self, key: &Key) -> bool {
+    /// Whether the caller may read and change a resource.
+    fn has_access(&self, key: &Key) -> bool {
         match self {
             Caller::Admin => key.kind == Kind::Partner,
             Caller::Operator(partner) => key.partner == *partner,
         }
     }
 
-    fn check(&self, key: &Key) -> Result<(), Refused> {
-        if self.may(key) {
+    fn check_access(&self, key: &Key) -> Result<(), ErrorResponse> {
+        if self.has_access(key) {
             return Ok(());
         }
         let error = format!("{key} is not this token's to see or change");
-        Err(problem(StatusCode::FORBIDDEN, error))
+        Err(error_response(StatusCode::FORBIDDEN, error))
     }
 
-    /// A partner's weight is against the others': its own operator can't raise it.
-    fn check_change(&self, key: &Key) -> Result<(), Refused> {
+    /// Checks that the caller may change a resource. A partner's own operator can't change the
+    /// partner, as its weight is relative to the other partners.
+    fn check_change(&self, key: &Key) -> Result<(), ErrorResponse> {
         let own_partner = matches!(self, Caller::Operator(_)) && key.kind == Kind::Partner;
         if !own_partner {
-            return self.check(key);
+            return self.check_access(key);
         }
         let error = format!("{key} is changed with the administrator's token only");
-        Err(problem(StatusCode::FORBIDDEN, error))
+        Err(error_response(StatusCode::FORBIDDEN, error))
     }
 }
 
-fn caller(api: &Api, headers: &HeaderMap) -> Result<Caller, Refused> {
+fn authenticate(api: &Api, headers: &HeaderMap) -> Result<Caller, ErrorResponse> {
     let bearer = headers.get(header::AUTHORIZATION);
     let text = bearer
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default();
     let token = text.strip_prefix("Bearer ").unwrap_or_default();
     let snapshot = api.snapshot.borrow().clone();
-    // Every hash is compared, so that the time tells nothing.
+    // Compares the token with every hash, so that the response time reveals nothing.
     let mut found = None;
     for partner in snapshot.partners.values() {
         if secret::fits(token, &partner.operator) {
@@ -130,18 +133,18 @@
     {
         found = Some(Caller::Admin);
     }
-    found.ok_or_else(|| problem(StatusCode::UNAUTHORIZED, "nobody has this token"))
+    found.ok_or_else(|| error_response(StatusCode::UNAUTHORIZED, "nobody has this token"))
 }
 
 #[derive(Serialize)]
-struct Shown<'a> {
+struct ShownResource<'a> {
     key: String,
     version: Revision,
     spec: &'a Spec,
 }
 
-fn shown<'a>(key: &Key, stored: &'a Stored) -> Shown<'a> {
-    Shown {
+fn show_resource<'a>(key: &Key, stored: &'a Stored) -> ShownResource<'a> {
+    ShownResource {
         key: key.to_string(),
         version: stored.revision,
         spec: &stored.spec,
@@ -157,41 +160,43 @@
     State(api): Shared,
     headers: HeaderMap,
     Query(filter): Query<Filter>,
-) -> Result<Json<Value>, Refused> {
-    let caller = caller(&api, &headers)?;
+) -> Result<Json<Value>, ErrorResponse> {
+    let caller = authenticate(&api, &headers)?;
     let snapshot = api.snapshot.borrow().clone();
-    let wanted = |key: &Key| {
-        let kind = filter
+    let is_listed = |key: &Key| {
+        let kind_matches = filter
             .kind
             .as_deref()
             .is_none_or(|kind| kind == key.kind.name());
-        caller.may(key) && kind
+        caller.has_access(key) && kind_matches
     };
-    let found = snapshot.resources.iter().filter(|(key, _)| wanted(key));
-    let resources: Vec<Shown> = found.map(|(key, stored)| shown(key, stored)).collect();
+    let found = snapshot.resources.iter().filter(|(key, _)| is_listed(key));
+    let resources: Vec<ShownResource> = found
+        .map(|(key, stored)| show_resource(key, stored))
+        .collect();
     Ok(Json(
         json!({ "revision": snapshot.revision, "resources": resources }),
     ))
 }
 
-fn parsed_key(text: &str) -> Result<Key, Refused> {
+fn parse_key(text: &str) -> Result<Key, ErrorResponse> {
     let message = "a key is KIND/PARTNER or KIND/PARTNER/NAME";
-    Key::parse(text).ok_or_else(|| problem(StatusCode::NOT_FOUND, message))
+    Key::parse(text).ok_or_else(|| error_response(StatusCode::NOT_FOUND, message))
 }
 
 pub(super) async fn show(
     State(api): Shared,
     headers: HeaderMap,
     Path(key): Path<String>,
-) -> Result<Json<Value>, Refused> {
-    let caller = caller(&api, &headers)?;
-    let key = parsed_key(&key)?;
-    caller.check(&key)?;
+) -> Result<Json<Value>, ErrorResponse> {
+    let caller = authenticate(&api, &headers)?;
+    let key = parse_key(&key)?;
+    caller.check_access(&key)?;
     let snapshot = api.snapshot.borrow().clone();
     let stored = snapshot.resources.get(&key);
-    let stored =
-        stored.ok_or_else(|| problem(StatusCode::NOT_FOUND, format!("{key} is not declared")))?;
-    let mut value = json!(shown(&key, stored));
+    let stored = stored
+        .ok_or_else(|| error_response(StatusCode::NOT_FOUND, format!("{key} is not declared")))?;
+    let mut value = json!(show_resource(&key, stored));
     if key.kind == Kind::Group {
         let id = group_id(&key.partner, &key.name);
         value["status"] = json!(snapshot.primaries.get(&id));
@@ -200,8 +205,8 @@
     Ok(Json(value))
 }
 
-/// The version that a change names, if it does.
-fn if_match(headers: &HeaderMap) -> Result<Option<Revision>, Refused> {
+/// Returns the version that the If-Match header requires, if any.
+fn required_version(headers: &HeaderMap) -> Result<Option<Revision>, ErrorResponse> {
     let Some(value) = headers.get(header::IF_MATCH) else {
         return Ok(None);
     };
@@ -209,7 +214,7 @@
     let message = "If-Match must be a version number";
     let number: u64 = text
         .parse()
-        .map_err(|_| problem(StatusCode::BAD_REQUEST, message))?;
+        .map_err(|_| error_response(StatusCode::BAD_REQUEST, message))?;
     Ok(Some(number.into()))
 }
 
@@ -218,51 +223,53 @@
     headers: HeaderMap,
     Path(key): Path<String>,
     Json(body): Json<Value>,
-) -> Result<Json<Value>, Refused> {
-    let caller = caller(&api, &headers)?;
-    let key = parsed_key(&key)?;
+) -> Result<Json<Value>, ErrorResponse> {
+    let caller = authenticate(&api, &headers)?;
+    let key = parse_key(&key)?;
     caller.check_change(&key)?;
     let entry = Entry::from_json(key.kind.name(), &key.to_string(), &body);
-    let entry = entry.map_err(|finding| findings(vec![finding]))?;
-    let spec = check::one(&entry).map_err(findings)?;
+    let entry = entry.map_err(|finding| invalid_resource(vec![finding]))?;
+    let spec = check::one(&entry).map_err(invalid_resource)?;
     if spec.key() != key {
         let error = format!("the body describes {}, the path names {key}", spec.key());
-        return Err(problem(StatusCode::UNPROCESSABLE_ENTITY, error));
+        return Err(error_response(StatusCode::UNPROCESSABLE_ENTITY, error));
     }
-    let version = if_match(&headers)?;
+    let version = required_version(&headers)?;
     let change = Change {
         key,
         version,
         spec: Some(spec),
     };
-    commit(&api, vec![change]).await
+    check_and_commit(&api, vec![change]).await
 }
 
 pub(super) async fn delete(
     State(api): Shared,
     headers: HeaderMap,
     Path(key): Path<String>,
-) -> Result<Json<Value>, Refused> {
-    let caller = caller(&api, &headers)?;
-    let key = parsed_key(&key)?;
+) -> Result<Json<Value>, ErrorResponse> {
+    let caller = authenticate(&api, &headers)?;
+    let key = parse_key(&key)?;
     caller.check_change(&key)?;
-    let version = if_match(&headers)?;
+    let version = required_version(&headers)?;
     let change = Change {
         key,
         version,
         spec: None,
     };
-    commit(&api, vec![change]).await
+    check_and_commit(&api, vec![change]).await
 }
 
-/// A resource to be written, or deleted where there is no spec.
+/// A change of a resource.
 struct Change {
     key: Key,
+    /// Version that the resource must have; none for the version that this box knows.
     version: Option<Revision>,
+    /// None deletes the resource.
     spec: Option<Spec>,
 }
 
-/// Several resources in one commit.
+/// A request to declare several resources in one commit.
 #[derive(Deserialize)]
 pub(super) struct Apply {
     #[serde(default)]
@@ -280,8 +287,8 @@
     State(api): Shared,
     headers: HeaderMap,
     Json(apply): Json<Apply>,
-) -> Result<Json<Value>, Refused> {
-    let caller = caller(&api, &headers)?;
+) -> Result<Json<Value>, ErrorResponse> {
+    let caller = authenticate(&api, &headers)?;
     let mut found = Vec::new();
     let mut specs = Vec::new();
     for declared in &apply.resources {
@@ -291,11 +298,11 @@
             .and_then(|entry| check::one(&entry))
         {
             Ok(spec) => specs.push(spec),
-            Err(more) => found.extend(more),
+            Err(invalid) => found.extend(invalid),
         }
     }
     if !found.is_empty() {
-        return Err(findings(found));
+        return Err(invalid_resource(found));
     }
     for spec in &specs {
         caller.check_change(&spec.key())?;
@@ -328,13 +335,13 @@
     if apply.dry_run || changes.is_empty() {
         return Ok(Json(json!({ "revision": snapshot.revision, "plan": plan })));
     }
-    let Json(mut done) = commit(&api, changes).await?;
+    let Json(mut done) = check_and_commit(&api, changes).await?;
     done["plan"] = json!(plan);
     Ok(Json(done))
 }
 
-/// Checks the changes against everything declared and commits them together.
-async fn commit(api: &Api, changes: Vec<Change>) -> Result<Json<Value>, Refused> {
+/// Checks the versions and references of the changes, and commits them together.
+async fn check_and_commit(api: &Api, changes: Vec<Change>) -> Result<Json<Value>, ErrorResponse> {
     let snapshot = api.snapshot.borrow().clone();
     let mut after: BTreeMap<Key, Spec> = BTreeMap::new();
     for (key, stored) in &snapshot.resources {
@@ -348,13 +355,13 @@
         if let Some(expected) = change.version
             && expected < found
         {
-            return Err(race(&change.key, expected, found));
+            return Err(version_conflict(&change.key, expected, found));
         }
         match &change.spec {
             Some(spec) => after.insert(change.key.clone(), spec.clone()),
             None if found == Revision::NONE => {
                 let error = format!("{} is not declared", change.key);
-                return Err(problem(StatusCode::NOT_FOUND, error));
+                return Err(error_response(StatusCode::NOT_FOUND, error));
             }
             None => after.remove(&change.key),
         };
@@ -374,12 +381,16 @@
     });
     let dangling: Vec<Finding> = dangling.collect();
     if !dangling.is_empty() {
-        return Err(findings(dangling));
+        return Err(invalid_resource(dangling));
     }
-    send(api, &changes, &snapshot).await
+    send_commit(api, &changes, &snapshot).await
 }
 
-async fn send(api: &Api, changes: &[Change], snapshot: &Snapshot) -> Result<Json<Value>, Refused> {
+async fn send_commit(
+    api: &Api,
+    changes: &[Change],
+    snapshot: &Snapshot,
+) -> Result<Json<Value>, ErrorResponse> {
     let write = |change: &Change| {
         let known = snapshot
             .resources
@@ -404,10 +415,10 @@
     match verdict {
         Ok(Verdict::Done(revision)) => {
             let _ = api.configuration.send(configuration::Request::Poll);
-            // So that the caller's next change is made against this one.
+            // Lets the caller's next request see this change.
             let mut newest = api.snapshot.clone();
-            let own = newest.wait_for(|snapshot| snapshot.revision >= revision);
-            let _ = tokio::time::timeout(OWN_WAIT, own).await;
+            let applied = newest.wait_for(|snapshot| snapshot.revision >= revision);
+            let _ = tokio::time::timeout(APPLY_TIMEOUT, applied).await;
             Ok(Json(json!({ "revision": revision })))
         }
         Ok(Verdict::Conflict { key, found }) => {
@@ -420,11 +431,15 @@
                 .resources
                 .get(&change.key)
                 .map_or(Revision::NONE, |s| s.revision);
-            Err(race(&change.key, change.version.unwrap_or(known), found))
+            Err(version_conflict(
+                &change.key,
+                change.version.unwrap_or(known),
+                found,
+            ))
         }
         Err(error) => {
             let message = format!("{error}; whether the change took effect is unknown: get it");
-            Err(problem(StatusCode::SERVICE_UNAVAILABLE, message))
+            Err(error_response(StatusCode::SERVICE_UNAVAILABLE, message))
         }
     }
 }
@@ -434,34 +449,33 @@
     since: Revision,
 }
 
-/// Changes after a revision; waits for one if there is none yet.
+/// Returns the changes after a revision. Waits for one if there is none yet.
 pub(super) async fn watch_changes(
     State(api): Shared,
     headers: HeaderMap,
     Query(query): Query<Since>,
-) -> Result<Json<Value>, Refused> {
-    let caller = caller(&api, &headers)?;
+) -> Result<Json<Value>, ErrorResponse> {
+    let caller = authenticate(&api, &headers)?;
     let mut snapshot = api.snapshot.clone();
     let newer = snapshot.wait_for(|snapshot| snapshot.revision > query.since);
-    let _ = tokio::time::timeout(WATCH_HOLD, newer).await;
+    let _ = tokio::time::timeout(WATCH_TIMEOUT, newer).await;
     let (reply, answer) = oneshot::channel();
-    let question = ScanRequest {
+    let request = ScanRequest {
         since: query.since,
         digest: 0,
     };
-    let _ = api.configuration.send(configuration::Request::Scan {
-        request: question,
-        reply,
-    });
+    let _ = api
+        .configuration
+        .send(configuration::Request::Scan { request, reply });
     let scan = answer
         .await
-        .map_err(|_| problem(StatusCode::SERVICE_UNAVAILABLE, "stopping"))?;
+        .map_err(|_| error_response(StatusCode::SERVICE_UNAVAILABLE, "stopping"))?;
     let changes: Vec<Value> = scan
         .rows
         .iter()
         .filter_map(|row| {
             let key = row.key.strip_prefix(RESOURCE_PREFIX).and_then(Key::parse)?;
-            caller.may(&key).then(|| {
+            caller.has_access(&key).then(|| {
                 json!({
                     "key": key.to_string(),
                     "version": row.revision,
--- a/src/node/exchange.rs
+++ b/src/node/exchange.rs
@@ -1,6 +1,6 @@
-//! One exchange between a caller's session and a member, as the core sees it: what
-//! decides where it runs and what its outcome means. The statement itself is a
-//! payload that only a codec opens.
+//! An exchange between a caller's session and a member, independent of the wire protocol: the
+//! fields that decide where it runs and what its outcome means. The statement itself is an
+//! opaque payload that only the protocol's codec reads.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -14,68 +14,72 @@
 use crate::decisions::group::{Reason, Refusal, Target};
 use crate::decisions::position::Position;
 
-/// What the exchange does to data, for retries and outcomes.
+/// Whether an exchange changes data. Decides about retries, and whether a lost outcome is
+/// unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
     Reads,
     Writes,
 }
 
-/// Statements that share a place in queues.
+/// Identifies the statements that are queued together for fair scheduling.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Flow {
     pub name: Arc<str>,
+    /// Share of the flow relative to other flows.
     pub weight: u32,
 }
 
-/// A request of an entry box to an owner.
+/// A request of an entry box to a group's owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Exchange {
     pub group: Arc<str>,
-    /// Names the request in logs; empty where the caller gave no id.
+    /// Identifies the request in logs; empty if the caller sent no id.
     pub trace: Arc<str>,
     pub target: Target,
     pub effect: Effect,
-    /// Ends a transaction: lost, its outcome is unknown.
+    /// Whether the exchange ends a transaction. If its answer is lost, the outcome is unknown.
     pub commits: bool,
+    /// Position that the session must see; none if it has no floor.
     pub floor: Option<Position>,
-    /// Time left until the statement must have started.
+    /// Remaining time until the statement must have started.
     pub patience: Duration,
-    /// Time left until the caller must have its answer, where that is bounded.
+    /// Remaining time until the caller must have its answer; none without a deadline.
     pub limit: Option<Duration>,
-    /// Whose statements it is queued with, and their weight against the others'; the
-    /// group's partner where there is none.
+    /// Flow that the statement is queued with; none for the flow of the group's partner.
     pub flow: Option<Flow>,
-    /// Time within which an answer is worth most to the caller.
+    /// Latency target of the caller's database.
     pub aim: Option<Duration>,
-    /// Connection held for this session by an earlier exchange.
+    /// Connection that an earlier exchange pinned for this session.
     pub lease: Option<u64>,
     pub setup: Setup,
     pub payload: Bytes,
-    /// Part of a transaction that only a primary runs.
+    /// Whether the exchange is part of a transaction that runs on the primary.
     pub on_primary: bool,
+    /// Key under which the ledger records the answer, so that a retry doesn't run the statement
+    /// again.
     pub once: Option<Arc<str>>,
-    /// Whose statement it is, as the member is told.
+    /// Workspace of the caller, which is reported to the member.
     #[serde(default)]
     pub workspace: Option<Arc<str>>,
 }
 
 impl Exchange {
-    /// Whether its answer shows that the member still leads.
+    /// Whether an answer proves that the member is still the primary.
     pub fn confirms_primary(&self) -> bool {
         self.effect == Effect::Writes || self.on_primary
     }
 
-    /// The same when `spent` of its time has passed; none when all has.
-    pub fn with_elapsed(&self, spent: Duration) -> Option<Cow<'_, Self>> {
-        if spent.is_zero() {
+    /// Returns the exchange with its deadlines reduced by `elapsed`; none if it has timed out.
+    pub fn with_elapsed(&self, elapsed: Duration) -> Option<Cow<'_, Self>> {
+        if elapsed.is_zero() {
             return Some(Cow::Borrowed(self));
         }
-        let limit = self.limit.map(|limit| limit.saturating_sub(spent));
+        let limit = self.limit.map(|limit| limit.saturating_sub(elapsed));
         if limit.is_some_and(|limit| limit.is_zero()) {
             return None;
         }
-        let patience = self.patience.saturating_sub(spent);
+        let patience = self.patience.saturating_sub(elapsed);
         Some(Cow::Owned(Self {
             patience,
             limit,
@@ -83,7 +87,7 @@
         }))
     }
 
-    /// The statement for a member that must hold `floor`.
+    /// Returns the task for a member, which must have applied `floor` first.
     pub fn task(&self, floor: Option<Position>) -> Task<'_> {
         Task {
             payload: &self.payload,
@@ -93,33 +97,35 @@
     }
 }
 
-/// Which member answered.
+/// Where an answer comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Server {
     Primary,
     Replica,
-    /// Nobody: the answer was recorded before.
+    /// The answer was recorded by an earlier attempt.
     Ledger,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Reply {
-    /// In the codec's format.
+    /// Messages for the caller, in the codec's format.
     pub messages: Bytes,
-    /// None while the codec's exchange stays open.
+    /// Transaction status; none while the protocol's exchange is still open.
     pub status: Option<Status>,
-    /// Position that the answer reaches.
+    /// Position that the session's later reads must not fall behind.
     pub position: Option<Position>,
+    /// Connection that stays pinned for the session.
     pub lease: Option<u64>,
     pub server: Server,
-    /// An error stands in the messages.
+    /// Whether the messages contain an error.
     pub failed: bool,
-    /// The session's floor was possible; where not, it is forgotten.
+    /// False if the session's floor lies beyond the primary's position. The session then drops its
+    /// floors.
     pub believed: bool,
 }
 
-/// Why there is no answer.
+/// Why an exchange has no answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Failure {
     #[error("not run")]
@@ -137,7 +143,7 @@
 }
 
 impl Failure {
-    /// Time after which another try may do better; zero where that is not for us to say.
+    /// Returns the time after which a retry may succeed; zero if unknown.
     pub fn retry_after(&self) -> Duration {
         match self {
             Failure::NotRun(refusal) => refusal.retry_after,
@@ -145,7 +151,7 @@
         }
     }
 
-    /// Whether it would come of a cut between this box and the members or owners.
+    /// Whether a network partition between this box and the members or owners may be the cause.
     pub fn suggests_partition(&self) -> bool {
         match self {
             Failure::NotRun(refusal) => {
@@ -156,7 +162,7 @@
         }
     }
 
-    /// One word for logs and metrics.
+    /// Returns a short name for logs and metrics.
     pub fn reason(&self) -> &'static str {
         match self {
             Failure::NotRun(refusal) => refusal.reason.name(),
--- a/src/node/follow.rs
+++ b/src/node/follow.rs
@@ -1,5 +1,5 @@
-//! Passes on what the table holds, from the boxes that read it to the others of their
-//! failure domain.
+//! Passes the table's changes from the readers of a failure domain to its other boxes, their
+//! followers.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -19,55 +19,52 @@
 use crate::declarations::snapshot::Snapshot;
 use crate::events;
 
-/// Time after which a question without news is answered.
-const WAIT: Duration = Duration::from_millis(600);
-/// Time beyond it after which the reader is held to be gone: a way there and back, and
-/// a change of a few hundred kilobytes.
-const MARGIN: Duration = Duration::from_millis(500);
-/// Pause while there is no reader to ask.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Time after which a reader answers a follower even without changes.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(600);
+/// Time beyond [`MAX_ANSWER_DELAY`] after which a reader is considered lost. Includes the
+/// transfer of a large change.
+const ANSWER_MARGIN: Duration = Duration::from_millis(500);
+/// Interval at which a follower without an available reader looks for one.
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// The same while the box starts.
-const START_PAUSE: Duration = Duration::from_millis(30);
+const RETRY_INTERVAL_AT_START: Duration = Duration::from_millis(30);
 
-/// Answers a follower as soon as there is news.
+/// Answers a follower's request as soon as there are changes, on the side of the reader.
 pub async fn answer_follower(
-    state: FollowRequest,
-    keeper: &Sender,
+    request: FollowRequest,
+    configuration: &Sender,
     mut snapshot: watch::Receiver<Arc<Snapshot>>,
     mut boxes: watch::Receiver<Arc<[Listing]>>,
 ) -> Option<FollowAnswer> {
-    let end = Instant::now() + WAIT;
+    let deadline = Instant::now() + MAX_ANSWER_DELAY;
     loop {
         snapshot.mark_unchanged();
         boxes.mark_unchanged();
         let (reply, answered) = oneshot::channel();
-        let _ = keeper.send(Request::Follow {
-            request: state,
-            reply,
-        });
+        let _ = configuration.send(Request::Follow { request, reply });
         let answer = answered.await.ok()?;
-        if answer.has_changes_for(&state) || Instant::now() >= end {
+        if answer.has_changes_for(&request) || Instant::now() >= deadline {
             return Some(answer);
         }
         tokio::select! {
             changed = snapshot.changed() => changed.ok()?,
             changed = boxes.changed() => changed.ok()?,
-            () = tokio::time::sleep_until(end) => {}
+            () = tokio::time::sleep_until(deadline) => {}
         }
     }
 }
 
-/// Asks the readers of this failure domain in turn, and has the table rest meanwhile.
-pub async fn run(context: Rc<Context>, keeper: Sender) {
+/// Follows the readers of this box's failure domain, and pauses polling the table meanwhile.
+pub async fn run(context: Rc<Context>, configuration: Sender) {
     let mut boxes = context.boxes.clone();
     let settings = Settings::new(context.settings.apply, context.settings.first_start);
     let mut follower = Follower {
         context: context.clone(),
-        keeper,
+        configuration,
         readers: Schedule::new(settings, context.now()),
-        told: HashMap::new(),
+        last_answers: HashMap::new(),
     };
-    // As the table is started.
+    // Matches the mode in which the table client is started.
     context.pace.set(Polling::Paused);
     loop {
         let settings = &context.settings;
@@ -75,15 +72,15 @@
         follower
             .readers
             .set_boxes(&listed, &settings.name, &settings.domain);
-        follower.set_pace();
+        follower.update_polling();
         match follower.readers.next_reader(context.now()) {
-            Some(reader) => follower.ask_in_time(&reader).await,
+            Some(reader) => follower.ask_reader(&reader).await,
             None => {
-                let pause = match follower.readers.is_starting(context.now()) {
-                    true => START_PAUSE,
-                    false => PAUSE,
+                let interval = match follower.readers.is_starting(context.now()) {
+                    true => RETRY_INTERVAL_AT_START,
+                    false => RETRY_INTERVAL,
                 };
-                let _ = tokio::time::timeout(pause, boxes.changed()).await;
+                let _ = tokio::time::timeout(interval, boxes.changed()).await;
             }
         }
     }
@@ -91,96 +88,100 @@
 
 struct Follower {
     context: Rc<Context>,
-    keeper: Sender,
+    configuration: Sender,
     readers: Schedule,
-    /// By reader.
-    told: HashMap<Arc<str>, Told>,
+    /// Last answer of each reader, by its API address.
+    last_answers: HashMap<Arc<str>, LastAnswer>,
 }
 
-/// What a reader has told last.
-struct Told {
+/// State of a reader as of its last answer.
+struct LastAnswer {
     cursor: Cursor,
     digest: u64,
-    /// Own digest with which all rows were asked for, since the reader's differed.
-    compared: Option<u64>,
+    /// Digest of this box's rows when it last requested all of the reader's rows.
+    resynced: Option<u64>,
 }
 
-impl Told {
-    /// Where the reader goes on; from the start where both should have the same rows and
-    /// have not: a row that the reader never knew can't be among its changes.
-    fn cursor(&mut self, digest: u64) -> Option<Cursor> {
-        if self.digest == digest || self.compared == Some(digest) {
+impl LastAnswer {
+    /// Returns the cursor to continue from; none to request all rows. All rows are requested once
+    /// if the digests differ, as this box may hold a row that the reader never had, which no
+    /// change of the reader would correct.
+    fn next_cursor(&mut self, digest: u64) -> Option<Cursor> {
+        if self.digest == digest || self.resynced == Some(digest) {
             return Some(self.cursor);
         }
-        self.compared = Some(digest);
+        self.resynced = Some(digest);
         None
     }
 }
 
 impl Follower {
-    fn set_pace(&self) {
-        let pace = self.readers.polling(self.context.now());
-        let before = self.context.pace.replace(pace);
-        if before == pace {
+    /// Pauses or resumes polling the table, depending on the readers' answers.
+    fn update_polling(&self) {
+        let polling = self.readers.polling(self.context.now());
+        let before = self.context.pace.replace(polling);
+        if before == polling {
             return;
         }
-        self.context.table.set_polling(pace);
+        self.context.table.set_polling(polling);
         let until = self.readers.paused_until();
         let fields: [(_, &dyn std::fmt::Display); 2] =
-            [("pace", &pace), ("good_until_ms", &until.as_millis())];
+            [("pace", &polling), ("good_until_ms", &until.as_millis())];
         events::emit(&self.context.log, &events::PACE, &fields);
     }
 
-    /// Asks one reader; the table is read again as soon as what is known grows stale.
-    async fn ask_in_time(&mut self, reader: &Arc<str>) {
+    /// Asks a reader for changes. Resumes polling the table if the known state becomes stale before
+    /// the answer arrives.
+    async fn ask_reader(&mut self, reader: &Arc<str>) {
         let context = self.context.clone();
-        let stale = self.readers.paused_until();
-        let Some(question) = self.question(reader).await else {
+        let paused_until = self.readers.paused_until();
+        let Some(request) = self.create_request(reader).await else {
             return self.readers.record_failure(reader, context.now());
         };
-        let left = stale.saturating_sub(context.now());
+        let time_left = paused_until.saturating_sub(context.now());
         let answer = {
-            let asked = peers::follow(&context, reader, &question, WAIT + MARGIN);
-            tokio::pin!(asked);
-            match tokio::time::timeout(left, &mut asked).await {
+            let answer =
+                peers::follow(&context, reader, &request, MAX_ANSWER_DELAY + ANSWER_MARGIN);
+            tokio::pin!(answer);
+            match tokio::time::timeout(time_left, &mut answer).await {
                 Ok(answer) => answer,
                 Err(_) => {
-                    self.set_pace();
-                    asked.await
+                    self.update_polling();
+                    answer.await
                 }
             }
         };
         match answer {
-            Some(answer) => self.take(reader, answer),
+            Some(answer) => self.apply_answer(reader, answer),
             None => self.readers.record_failure(reader, context.now()),
         }
     }
 
-    /// What is asked of a reader; none when the keeper has ended.
-    async fn question(&mut self, reader: &Arc<str>) -> Option<FollowRequest> {
-        let (reply, known) = oneshot::channel();
-        let _ = self.keeper.send(Request::Digest { reply });
-        let (digest, boxes) = known.await.ok()?;
+    /// Creates the next request to a reader; none if the configuration's updater has stopped.
+    async fn create_request(&mut self, reader: &Arc<str>) -> Option<FollowRequest> {
+        let (reply, state) = oneshot::channel();
+        let _ = self.configuration.send(Request::Digest { reply });
+        let (digest, boxes) = state.await.ok()?;
         Some(FollowRequest {
             cursor: self
-                .told
+                .last_answers
                 .get_mut(reader)
-                .and_then(|told| told.cursor(digest)),
+                .and_then(|last| last.next_cursor(digest)),
             digest,
             boxes,
         })
     }
 
-    fn take(&mut self, reader: &Arc<str>, answer: FollowAnswer) {
+    fn apply_answer(&mut self, reader: &Arc<str>, answer: FollowAnswer) {
         let age = answer.heard_ms.map(Duration::from_millis);
-        let before = self.told.remove(reader);
-        let told = Told {
+        let before = self.last_answers.remove(reader);
+        let last = LastAnswer {
             cursor: answer.cursor,
             digest: answer.digest,
-            compared: before.and_then(|told| told.compared),
+            resynced: before.and_then(|last| last.resynced),
         };
-        self.told.insert(reader.clone(), told);
+        self.last_answers.insert(reader.clone(), last);
         self.readers.record_answer(reader, age, self.context.now());
-        let _ = self.keeper.send(Request::ReaderAnswer(answer));
+        let _ = self.configuration.send(Request::ReaderAnswer(answer));
     }
 }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,4 +1,5 @@
-//! What boxes say to each other: HTTP with `rmp-serde`.
+//! Calls between boxes: HTTP requests with MessagePack bodies. Structs are encoded by position,
+//! so the order of their fields is part of the protocol.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -30,24 +31,26 @@
 pub const BORROW: &str = "/peer/borrow";
 pub const WARN: &str = "/peer/warn";
 
-const SMALL_WAIT: Duration = Duration::from_millis(500);
-/// Time for an owner's word on a cut: those that matter are in the same failure domain, and
-/// the others are waited for in vain.
-const REACH_WAIT: Duration = Duration::from_millis(150);
-/// A forwarded read gets this part of its time before another owner is asked.
-const READ_TRIES: u32 = 2;
-const EXCHANGE_WAIT: Duration = Duration::from_secs(600);
-const RECORD_PAUSE: Duration = Duration::from_millis(500);
-const RECORD_TRIES: u32 = 120;
-
-/// Why a forwarded exchange brought nothing back.
+/// Timeout of calls that don't wait for a member.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout for asking an owner which members it reaches. Short, as only answers from the same
+/// failure domain matter, and others don't arrive during a partition.
+const REACH_TIMEOUT: Duration = Duration::from_millis(150);
+/// Attempts that share the time of a forwarded read, so that another owner can be asked.
+const READ_ATTEMPTS: u32 = 2;
+/// Timeout of exchanges without a deadline.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(600);
+const RECORD_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_RECORD_ATTEMPTS: u32 = 120;
+
+/// Why a forwarded exchange has no reply.
 #[derive(Debug)]
 pub enum ForwardError {
-    /// The owner answered, and this is why there is no reply.
+    /// The owner answered with a failure.
     Failure(Failure),
-    /// The owner could not be reached: nothing was sent.
+    /// The owner couldn't be reached, so nothing was sent.
     Unsent,
-    /// The owner was lost after the exchange was sent.
+    /// The connection was lost or timed out after the exchange was sent.
     Lost,
 }
 
@@ -56,108 +59,110 @@
     address: &str,
     path: &str,
     request: &Q,
-    wait: Duration,
+    timeout: Duration,
 ) -> Result<A, HttpError> {
-    let body = rmp_serde::to_vec(request).expect("messages are plain data");
-    let bytes = context.client.post(address, path, body, wait).await?;
+    let body = rmp_serde::to_vec(request).expect("messages can be serialized");
+    let bytes = context.client.post(address, path, body, timeout).await?;
     rmp_serde::from_slice(&bytes).map_err(|error| HttpError::Broken(error.to_string()))
 }
 
-/// Has an owner serve an exchange.
+/// Forwards an exchange to an owner.
 pub async fn forward(
     context: &Context,
     owner: &str,
     exchange: &Exchange,
 ) -> Result<Reply, ForwardError> {
     context.metrics.forwarded.add(1, &[]);
-    let wait = exchange.limit.unwrap_or(EXCHANGE_WAIT);
-    let wait = match exchange.effect {
-        // A read may be asked for elsewhere.
-        Effect::Reads if exchange.lease.is_none() => wait / READ_TRIES,
-        _ => wait,
+    let timeout = exchange.limit.unwrap_or(EXCHANGE_TIMEOUT);
+    let timeout = match exchange.effect {
+        // Leaves time to retry the read at another owner.
+        Effect::Reads if exchange.lease.is_none() => timeout / READ_ATTEMPTS,
+        _ => timeout,
     };
     let answer: Result<Result<Reply, Failure>, HttpError> =
-        call(context, owner, EXCHANGE, exchange, wait).await;
+        call(context, owner, EXCHANGE, exchange, timeout).await;
     match answer {
-        Ok(served) => served.map_err(ForwardError::Failure),
+        Ok(result) => result.map_err(ForwardError::Failure),
         Err(HttpError::Unsent(_)) => Err(ForwardError::Unsent),
         Err(_) => Err(ForwardError::Lost),
     }
 }
 
-/// Tells an owner that a held connection is no longer wanted.
+/// Tells an owner to release a connection that was pinned for a session.
 pub async fn abandon_lease(context: Rc<Context>, owner: Arc<str>, lease: u64) {
-    let _: Result<(), _> = call(&context, &owner, ABANDON, &lease, SMALL_WAIT).await;
+    let _: Result<(), _> = call(&context, &owner, ABANDON, &lease, CALL_TIMEOUT).await;
 }
 
-/// Whether another owner suspects the primary of a group, none if it can't tell.
+/// Asks another owner whether it suspects the primary of a group; none if it can't tell.
 pub async fn fetch_opinion(
     context: Rc<Context>,
     owner: Listing,
     group: Arc<str>,
     term: u64,
 ) -> Option<bool> {
-    let question = (group, term);
+    let request = (group, term);
     let answer: Result<Option<bool>, _> =
-        call(&context, &owner.address, OPINION, &question, SMALL_WAIT).await;
+        call(&context, &owner.address, OPINION, &request, CALL_TIMEOUT).await;
     answer.ok().flatten()
 }
 
-/// Whether an owner reaches a majority of a group's members, none if it can't tell.
+/// Asks an owner whether it reaches a majority of a group's members; none if it can't tell.
 pub async fn fetch_reach(context: &Context, owner: &str, group: &Arc<str>) -> Option<bool> {
-    let answer: Result<Option<bool>, _> = call(context, owner, REACH, group, REACH_WAIT).await;
+    let answer: Result<Option<bool>, _> = call(context, owner, REACH, group, REACH_TIMEOUT).await;
     answer.ok().flatten()
 }
 
-/// Tells a box of the same failure domain that the others are silent.
+/// Alerts a box of the same failure domain that the other failure domains may be unreachable.
 pub async fn send_partition_alert(context: Rc<Context>, peer: Arc<str>) {
     let from = &context.settings.name;
-    let _: Result<(), _> = call(&context, &peer, WARN, from, SMALL_WAIT).await;
+    let _: Result<(), _> = call(&context, &peer, WARN, from, CALL_TIMEOUT).await;
 }
 
-/// Asks a box to lend operations out of a workspace's limit, none if it can't.
+/// Asks a box to lend operations from its share of a workspace's limit; none if it can't.
 pub async fn borrow(
     context: &Context,
     lender: &str,
-    question: &limits::Question,
-    wait: Duration,
+    request: &limits::Question,
+    timeout: Duration,
 ) -> Option<Loan> {
-    let answer: Result<Option<Loan>, _> = call(context, lender, BORROW, question, wait).await;
+    let answer: Result<Option<Loan>, _> = call(context, lender, BORROW, request, timeout).await;
     answer.ok().flatten()
 }
 
-/// Has a box give up its lease on a group. Whether it did, and promotes nobody.
+/// Asks a box to give up its lease on a group. Returns whether it did, and isn't replacing the
+/// primary itself.
 pub async fn revoke(context: Rc<Context>, peer: Arc<str>, group: Arc<str>) -> bool {
-    let done = call(&context, &peer, REVOKE, &group, SMALL_WAIT).await;
-    done.unwrap_or(false)
+    let released = call(&context, &peer, REVOKE, &group, CALL_TIMEOUT).await;
+    released.unwrap_or(false)
 }
 
-pub async fn push_update(context: Rc<Context>, peer: Arc<str>, news: Update) {
-    let _: Result<(), _> = call(&context, &peer, NEWS, &news, SMALL_WAIT).await;
+pub async fn push_update(context: Rc<Context>, peer: Arc<str>, update: Update) {
+    let _: Result<(), _> = call(&context, &peer, NEWS, &update, CALL_TIMEOUT).await;
 }
 
-pub async fn fetch_rows(context: &Context, peer: &str, question: &ScanRequest) -> Option<Scan> {
-    call(context, peer, SCAN, question, SMALL_WAIT).await.ok()
+pub async fn fetch_rows(context: &Context, peer: &str, request: &ScanRequest) -> Option<Scan> {
+    call(context, peer, SCAN, request, CALL_TIMEOUT).await.ok()
 }
 
-/// Asks a reader of the table for what is new there, and waits for it.
+/// Asks a reader of the table for changes, and waits until there are some.
 pub async fn follow(
     context: &Context,
     reader: &str,
-    state: &FollowRequest,
-    wait: Duration,
+    request: &FollowRequest,
+    timeout: Duration,
 ) -> Option<FollowAnswer> {
-    call(context, reader, FOLLOW, state, wait).await.ok()
+    call(context, reader, FOLLOW, request, timeout).await.ok()
 }
 
 pub async fn fetch_boxes(context: &Context, peer: &str) -> Option<Vec<Listing>> {
-    call(context, peer, BOXES, &(), SMALL_WAIT).await.ok()
+    call(context, peer, BOXES, &(), CALL_TIMEOUT).await.ok()
 }
 
-/// Records a group's new primary in the table, until the table answers.
+/// Records a group's new primary in the table. Retries until that is done, or the table names a
+/// primary of this term or a later one.
 pub async fn record_primary(context: Rc<Context>, group: Arc<str>, term: u64, member: Arc<str>) {
     let key: Arc<str> = format!("{PRIMARY_PREFIX}{group}").into();
-    for _ in 0..RECORD_TRIES {
+    for _ in 0..MAX_RECORD_ATTEMPTS {
         let known = context.snapshot.borrow().primaries.get(&group).cloned();
         if known.as_ref().is_some_and(|primary| primary.term >= term) {
             return;
@@ -180,6 +185,6 @@
         if let Ok(Verdict::Done(_)) = context.table.commit(&commit).await {
             return;
         }
-        tokio::time::sleep(RECORD_PAUSE).await;
+        tokio::time::sleep(RECORD_RETRY_INTERVAL).await;
     }
 }
--- a/src/node/updates.rs
+++ b/src/node/updates.rs
@@ -1,5 +1,6 @@
-//! What boxes tell each other of the table's rows: pushed to some, asked of a peer while
-//! the table is away, or asked again and again of a box that reads the table.
+//! Messages by which boxes pass on the table's rows. A box pushes updates to some peers, asks a
+//! peer for rows while the table is unavailable, and follows a reader of the table by repeated
+//! requests.
 
 use std::sync::Arc;
 
@@ -8,60 +9,62 @@
 use crate::borders::roster::Listing;
 use crate::borders::table::{Revision, Scan};
 
-/// News that one peer tells another: the rows written after `since`.
+/// An update that a box pushes to a peer: the rows written after `since`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Update {
+    /// API address of the sender.
     pub from: Arc<str>,
     pub since: Revision,
     pub scan: Scan,
 }
 
-/// What a peer has, when it asks for the rest.
+/// A request for the rows that the requester lacks, with the state of its own rows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ScanRequest {
-    /// It has all rows up to this revision; the default where that can't be said.
+    /// Revision up to which the requester has all rows; the default if unknown.
     pub since: Revision,
-    /// Digest of all its rows.
+    /// Digest of all rows of the requester.
     pub digest: u64,
 }
 
-/// How far a reader has told what it knows.
+/// Position in a reader's sequence of changes up to which a follower has received them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// Names one start of the reader.
+    /// Identifies a run of the reader's process.
     pub epoch: u64,
+    /// Number of scans that the reader had applied.
     pub taken: u64,
 }
 
-/// What a follower has, when it asks for the rest.
+/// A follower's request for changes, with the state of its own rows.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct FollowRequest {
-    /// None before the reader's first answer.
+    /// None before the reader's first answer, and when all rows are requested.
     pub cursor: Option<Cursor>,
-    /// Digest of all rows.
+    /// Digest of all rows of the follower.
     pub digest: u64,
-    /// Revision of the list of boxes.
+    /// Revision of the follower's list of boxes.
     pub boxes: Revision,
 }
 
-/// What the follower lacks.
+/// The changes that a follower lacks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FollowAnswer {
     pub cursor: Cursor,
     pub scan: Scan,
-    /// Digest of all the reader's rows.
+    /// Digest of all rows of the reader.
     pub digest: u64,
-    /// The whole list, if it is newer.
+    /// The complete list of boxes, if newer than the follower's.
     pub boxes: Option<Vec<Listing>>,
     pub boxes_revision: Revision,
-    /// Milliseconds since the table last answered the reader; none when it does not.
+    /// Milliseconds since the table last answered the reader; none if the table is unavailable.
     pub heard_ms: Option<u64>,
 }
 
 impl FollowAnswer {
-    /// Whether it is worth sending before its time.
-    pub fn has_changes_for(&self, state: &FollowRequest) -> bool {
-        let first = state.cursor.is_none_or(|c| c.epoch != self.cursor.epoch);
+    /// Whether to send the answer at once, instead of waiting for changes.
+    pub fn has_changes_for(&self, request: &FollowRequest) -> bool {
+        let first = request.cursor.is_none_or(|c| c.epoch != self.cursor.epoch);
         first || !self.scan.rows.is_empty() || self.boxes.is_some() || self.heard_ms.is_none()
     }
 }
