--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -1,5 +1,5 @@
-//! Keeps the declarations in force: polls the table's head, fetches what is newer,
-//! and passes news between peers. A box never steps back in revision.
+//! Keeps the declarations in force up to date: polls the platform's table, applies newer rows,
+//! publishes snapshots and exchanges updates with peers. The revision never decreases.
 
 mod departures;
 mod store;
@@ -28,26 +28,26 @@
 pub use departures::Departures;
 pub use store::Store;
 
+/// Key prefix of rows that record a group's primary.
 pub const PRIMARY_PREFIX: &str = "primary/";
-/// Peers are asked when the table has given no answer for this long: when all boxes
-/// start together, the table answers before any peer does.
-const PEER_AFTER: Duration = Duration::from_millis(600);
-/// Peers that are asked how long ago a member left: one of them may have just started too.
-const PEERS_ASKED: usize = 3;
-/// Peers that a box asks once, when it has read the table after its start: one of them may have
-/// just started too.
-const PEERS_COMPARED: usize = 2;
-/// Members that one piece of news names in the log: when the store comes back, the entries of
-/// all may have lapsed.
-const MOST_NAMED: usize = 20;
-
-/// Where rows came from, as logs name it.
+/// Time without an answer of the table after which peers are asked. Peers that start at the same
+/// time know nothing before the table answers.
+const PEER_DELAY: Duration = Duration::from_millis(600);
+/// Number of peers to ask for the ages of departures, as some may have just started too.
+const PEERS_FOR_AGES: usize = 3;
+/// Number of peers to compare rows with after the start, as some may have just started too.
+const PEERS_TO_COMPARE: usize = 2;
+/// Maximum number of departures that are logged for one update, as the entries of all members
+/// may expire during an outage of the platform's store.
+const MAX_LOGGED_DEPARTURES: usize = 20;
+
+/// The source of rows, for the log.
 #[derive(Clone, Debug)]
 enum Origin {
     Table,
-    /// A box at this address.
+    /// The box with this API address.
     Peer(Arc<str>),
-    /// A reader of the table, which this box follows.
+    /// A reader of the table that this box follows.
     Reader,
 }
 
@@ -61,34 +61,35 @@
     }
 }
 
-/// What is said to the keeper.
+/// A request to the [`Updater`].
 #[derive(Debug)]
 pub enum Request {
-    /// Rows after a revision, for a peer or a watcher.
+    /// Returns the rows after a revision, for a peer or a watch request.
     Scan {
         request: ScanRequest,
         reply: oneshot::Sender<Scan>,
     },
+    /// Applies an update that a peer pushed.
     Update(Update),
-    /// What a follower lacks of the rows and of the list of boxes.
+    /// Returns the rows and boxes that a follower lacks.
     Follow {
         request: FollowRequest,
         reply: oneshot::Sender<FollowAnswer>,
     },
-    /// Digest of all rows, and revision of the list of boxes.
+    /// Returns the digest of all rows and the revision of the list of boxes.
     Digest {
         reply: oneshot::Sender<(u64, Revision)>,
     },
-    /// What a reader of the table has passed on.
+    /// Applies the answer of a reader that this box follows.
     ReaderAnswer(FollowAnswer),
-    /// Look at the table now.
+    /// Polls the table now.
     Poll,
 }
 
 pub type Sender = mpsc::UnboundedSender<Request>;
 
-/// What a peer has answered; none if it has not.
-enum Heard {
+/// A peer's answer; none if the call failed.
+enum PeerAnswer {
     Rows {
         peer: Arc<str>,
         since: Revision,
@@ -97,30 +98,30 @@
     Boxes(Option<Vec<Listing>>),
 }
 
-/// The keeper of the configuration on one box.
+/// The task that keeps a box's configuration up to date.
 pub struct Updater {
     context: Rc<Context>,
     inbox: mpsc::UnboundedReceiver<Request>,
     store: Store,
     departures: Departures,
-    /// When the table was last looked at.
-    looked: Option<Duration>,
+    /// When the table was last polled successfully.
+    last_poll: Option<Duration>,
     snapshot: watch::Sender<Arc<Snapshot>>,
     boxes: watch::Sender<Arc<[Listing]>>,
-    table_up: bool,
-    /// When the table was last found to give no answer.
-    down_since: Duration,
-    /// Tag of the list of boxes that is known.
-    tag: String,
+    table_available: bool,
+    /// When the table last became unavailable.
+    unavailable_since: Duration,
+    /// Entity tag of the known list of boxes.
+    roster_tag: String,
     boxes_revision: Revision,
-    /// Names this start of the box.
+    /// Identifies this run of the process.
     epoch: u64,
-    /// Questions to peers under way. The keeper goes on meanwhile: a wait for a silent peer
-    /// would hold up a change that the table has told, by 0.4 s as seen in logs.
-    questions: FuturesUnordered<LocalBoxFuture<'static, Heard>>,
-    /// Peers that are asked for rows now.
-    asked: BTreeSet<Arc<str>>,
-    /// What was read at the start was compared with what others know.
+    /// Pending calls to peers. They run concurrently, so that a silent peer doesn't delay changes
+    /// from the table.
+    calls: FuturesUnordered<LocalBoxFuture<'static, PeerAnswer>>,
+    /// Peers with a pending request for rows.
+    requested_peers: BTreeSet<Arc<str>>,
+    /// Whether peers were asked for their rows after the start.
     compared: bool,
 }
 
@@ -136,64 +137,65 @@
             inbox,
             store: Store::default(),
             departures: Departures::default(),
-            looked: None,
+            last_poll: None,
             snapshot,
             boxes,
-            table_up: true,
-            down_since: Duration::ZERO,
-            tag: String::new(),
+            table_available: true,
+            unavailable_since: Duration::ZERO,
+            roster_tag: String::new(),
             boxes_revision: Revision::NONE,
             epoch: rand::random(),
-            questions: FuturesUnordered::new(),
-            asked: BTreeSet::new(),
+            calls: FuturesUnordered::new(),
+            requested_peers: BTreeSet::new(),
             compared: false,
         }
     }
 
+    /// Runs until all senders of requests are dropped.
     pub async fn run(mut self) {
         let table = self.context.table.clone();
         loop {
             self.poll().await;
-            let news = table.wait_for_changes(self.jittered());
-            tokio::pin!(news);
+            let changes = table.wait_for_changes(self.jittered_poll_interval());
+            tokio::pin!(changes);
             loop {
                 tokio::select! {
                     request = self.inbox.recv() => match request {
-                        Some(request) => self.take(request).await,
+                        Some(request) => self.handle_request(request).await,
                         None => return,
                     },
-                    Some(heard) = self.questions.next() => self.hear(heard),
-                    () = &mut news => break,
+                    Some(answer) = self.calls.next() => self.handle_peer_answer(answer),
+                    () = &mut changes => break,
                 }
             }
         }
     }
 
-    /// What a follower does not have yet.
-    fn follow(&self, state: &FollowRequest) -> FollowAnswer {
+    /// Returns the rows and boxes that a follower lacks.
+    fn answer_follower(&self, request: &FollowRequest) -> FollowAnswer {
         let cursor = Cursor {
             epoch: self.epoch,
             taken: self.store.sequence(),
         };
-        let told = state.cursor.filter(|told| told.epoch == self.epoch);
+        let known = request.cursor.filter(|known| known.epoch == self.epoch);
         let scan = self
             .store
-            .scan_for_follower(state.digest, told.map(|told| told.taken));
+            .scan_for_follower(request.digest, known.map(|known| known.taken));
         let scan = self.with_ages(scan);
-        let newer = self.boxes_revision > state.boxes;
-        let heard = self.context.table.answer_age();
+        let newer = self.boxes_revision > request.boxes;
+        let answer_age = self.context.table.answer_age();
         FollowAnswer {
             cursor,
             scan,
             digest: self.store.digest(),
             boxes: newer.then(|| self.boxes.borrow().to_vec()),
             boxes_revision: self.boxes_revision,
-            heard_ms: heard.map(|age| age.as_millis() as u64),
+            heard_ms: answer_age.map(|age| age.as_millis() as u64),
         }
     }
 
-    fn take_followed(&mut self, answer: FollowAnswer) {
-        self.accept(&Origin::Reader, Revision::NONE, answer.scan);
+    fn apply_reader_answer(&mut self, answer: FollowAnswer) {
+        self.apply_rows(&Origin::Reader, Revision::NONE, answer.scan);
         if let Some(boxes) = answer.boxes
             && answer.boxes_revision > self.boxes_revision
         {
@@ -202,7 +204,8 @@
         }
     }
 
-    fn question(&self) -> ScanRequest {
+    /// Returns a request for the rows that a peer has and this box doesn't.
+    fn scan_request(&self) -> ScanRequest {
         let since = match self.context.table.has_ordered_revisions() {
             true => self.store.revision(),
             false => Revision::NONE,
@@ -211,87 +214,81 @@
         ScanRequest { since, digest }
     }
 
-    /// The poll interval, spread so that boxes do not ask in step.
-    fn jittered(&self) -> Duration {
+    /// Returns the poll interval with jitter, so that boxes don't poll at the same time.
+    fn jittered_poll_interval(&self) -> Duration {
         let factor = rand::Rng::random_range(&mut rand::rng(), 0.8..1.2);
         self.context.settings.poll.mul_f64(factor)
     }
 
-    async fn take(&mut self, request: Request) {
+    async fn handle_request(&mut self, request: Request) {
         match request {
-            Request::Scan {
-                request: question,
-                reply,
-            } => {
-                let _ = reply.send(self.with_ages(self.store.scan_for_peer(&question)));
+            Request::Scan { request, reply } => {
+                let _ = reply.send(self.with_ages(self.store.scan_for_peer(&request)));
             }
-            Request::Update(news) => self.news(news),
-            Request::Follow {
-                request: state,
-                reply,
-            } => {
-                let _ = reply.send(self.follow(&state));
+            Request::Update(update) => self.apply_update(update),
+            Request::Follow { request, reply } => {
+                let _ = reply.send(self.answer_follower(&request));
             }
             Request::Digest { reply } => {
                 let _ = reply.send((self.store.digest(), self.boxes_revision));
             }
-            Request::ReaderAnswer(answer) => self.take_followed(answer),
+            Request::ReaderAnswer(answer) => self.apply_reader_answer(answer),
             Request::Poll => self.poll().await,
         }
     }
 
     async fn poll(&mut self) {
         if !self.context.table.has_ordered_revisions() {
-            // What one source told counts, whatever becomes of the others; and without
-            // an order a row may be new although the head is not.
-            self.fetch().await;
+            // Without an order, a row may be new although the head is not. The rows that could
+            // be read count even if the head can't be read.
+            self.fetch_rows().await;
         }
         match self.context.table.head().await {
             Ok(head) => {
-                self.note_table(true);
+                self.set_table_available(true);
                 if head > self.store.revision() {
-                    self.fetch().await;
+                    self.fetch_rows().await;
                 }
-                self.looked = Some(self.context.now());
-                self.read_boxes().await;
-                self.compare();
-                self.ask_for_ages();
+                self.last_poll = Some(self.context.now());
+                self.fetch_boxes().await;
+                self.compare_with_peers();
+                self.request_ages();
             }
             Err(_) => {
-                self.note_table(false);
-                if self.context.now() >= self.down_since + PEER_AFTER {
-                    self.ask_a_peer();
+                self.set_table_available(false);
+                if self.context.now() >= self.unavailable_since + PEER_DELAY {
+                    self.ask_peers();
                 }
             }
         }
     }
 
-    fn note_table(&mut self, up: bool) {
-        if self.table_up && !up {
-            self.down_since = self.context.now();
+    fn set_table_available(&mut self, available: bool) {
+        if self.table_available && !available {
+            self.unavailable_since = self.context.now();
         }
-        if self.table_up != up {
-            let kind = match up {
+        if self.table_available != available {
+            let kind = match available {
                 true => &events::TABLE_BACK,
                 false => &events::TABLE_DOWN,
             };
             events::emit(&self.context.log, kind, &[]);
         }
-        self.table_up = up;
+        self.table_available = available;
     }
 
-    async fn fetch(&mut self) {
+    async fn fetch_rows(&mut self) {
         let since = self.store.revision();
         if let Ok(scan) = self.context.table.scan(since).await {
-            self.accept(&Origin::Table, since, scan);
+            self.apply_rows(&Origin::Table, since, scan);
         }
     }
 
-    async fn read_boxes(&mut self) {
-        if let Ok(Some(listed)) = self.context.roster.boxes(&self.tag).await {
-            self.tag = listed.tag;
+    async fn fetch_boxes(&mut self) {
+        if let Ok(Some(listed)) = self.context.roster.boxes(&self.roster_tag).await {
+            self.roster_tag = listed.tag;
             if listed.revision > Revision::NONE && listed.revision <= self.boxes_revision {
-                // A reader of the table has told of a newer list.
+                // A reader has already passed on this list or a newer one.
                 return;
             }
             self.boxes_revision = listed.revision;
@@ -316,52 +313,54 @@
         let _ = self.context.decisions.send(Message::Boxes(boxes));
     }
 
-    /// Puts newer rows in force and tells some peers.
-    fn accept(&mut self, origin: &Origin, since: Revision, scan: Scan) -> bool {
+    /// Puts newer rows in force and pushes them to some peers. Returns whether there were any.
+    fn apply_rows(&mut self, origin: &Origin, since: Revision, scan: Scan) -> bool {
         let now = self.context.now();
         if !self.store.apply(since, &scan, &self.context.log) {
             if self.departures.merge_ages(&scan.ages, now) {
-                self.put_in_force(self.store.snapshot());
+                self.publish(self.store.snapshot());
             }
             return false;
         }
         let snapshot = self.store.snapshot();
-        let lag = self.lag(origin, &scan);
+        let max_age = self.max_age(origin, &scan);
         let before = self.snapshot.borrow().clone();
         let change = (&*before, &snapshot);
-        let departed = self.departures.update(change, &scan.ages, lag, now);
-        let known = self.store.complete_sections().get(&Section::Declarations);
+        let departed = self.departures.update(change, &scan.ages, max_age, now);
+        let declarations = self.store.complete_sections().get(&Section::Declarations);
         let fields: [(_, &dyn fmt::Display); 4] = [
             ("revision", &snapshot.revision),
-            ("declarations", known.unwrap_or(&Revision::NONE)),
+            ("declarations", declarations.unwrap_or(&Revision::NONE)),
             ("rows", &scan.rows.len()),
             ("from", origin),
         ];
         events::emit(&self.context.log, &events::CONFIGURED, &fields);
-        self.note_departed(origin, &departed);
-        self.put_in_force(snapshot);
-        self.tell_peers(since, self.with_ages(scan));
+        self.log_departures(origin, &departed);
+        self.publish(snapshot);
+        self.push_to_peers(since, self.with_ages(scan));
         true
     }
 
-    fn put_in_force(&self, snapshot: Snapshot) {
+    /// Puts a snapshot in force on this box.
+    fn publish(&self, snapshot: Snapshot) {
         let snapshot = Arc::new(snapshot.with_departures(self.departures.iter()));
         self.snapshot.send_replace(snapshot.clone());
         let _ = self.context.decisions.send(Message::Snapshot(snapshot));
     }
 
-    /// How long ago news was written at the most; none where nobody can tell.
-    fn lag(&self, origin: &Origin, scan: &Scan) -> Option<Duration> {
+    /// Returns the maximum time since the rows were written; none if unknown.
+    fn max_age(&self, origin: &Origin, scan: &Scan) -> Option<Duration> {
         match origin {
-            Origin::Table if self.context.table.has_ordered_revisions() => {
-                self.looked.map(|looked| self.context.now() - looked)
-            }
+            Origin::Table if self.context.table.has_ordered_revisions() => self
+                .last_poll
+                .map(|last_poll| self.context.now() - last_poll),
             Origin::Table => scan.lag_ms.map(Duration::from_millis),
-            // They tell the ages that they know.
+            // Boxes send the ages that they know with their rows.
             Origin::Peer(_) | Origin::Reader => None,
         }
     }
 
+    /// Adds the ages of all current departures to the rows for another box.
     fn with_ages(&self, scan: Scan) -> Scan {
         Scan {
             ages: self.departures.ages(self.context.now()),
@@ -369,9 +368,9 @@
         }
     }
 
-    /// Asks others, once, what they know that the table does not: it may be an older copy of
-    /// itself when a box starts, which has known nothing newer.
-    fn compare(&mut self) {
+    /// Asks some peers once for rows that the table lacks. The table may have been restored from an
+    /// older copy, which a box that has just started can't notice.
+    fn compare_with_peers(&mut self) {
         if self.compared
             || self.context.settings.first_start
             || self.context.table.has_ordered_revisions()
@@ -385,51 +384,52 @@
         {
             return;
         }
-        for listing in self.some_peers(PEERS_COMPARED) {
+        for listing in self.choose_peers(PEERS_TO_COMPARE) {
             self.compared = true;
-            self.ask_for_rows(listing.address);
+            self.request_rows(listing.address);
         }
     }
 
-    /// Asks others for how long members have been leaving, where this box can't tell: it
-    /// started after their word.
-    fn ask_for_ages(&mut self) {
+    /// Asks some peers how long ago members announced that they leave, if this box doesn't know
+    /// because it started later.
+    fn request_ages(&mut self) {
         if !self.departures.has_unknown_age(self.context.now()) {
             return;
         }
-        for listing in self.some_peers(PEERS_ASKED) {
-            self.ask_for_rows(listing.address);
+        for listing in self.choose_peers(PEERS_FOR_AGES) {
+            self.request_rows(listing.address);
         }
     }
 
-    /// Logs whom news declares to leave, or lists no more.
-    fn note_departed(&self, origin: &Origin, departed: &[(Key, Manner)]) {
-        for (member, how) in departed.iter().take(MOST_NAMED) {
+    /// Logs the members that started to leave or are no longer listed.
+    fn log_departures(&self, origin: &Origin, departed: &[(Key, Manner)]) {
+        for (member, reason) in departed.iter().take(MAX_LOGGED_DEPARTURES) {
             let fields: [(_, &dyn fmt::Display); 3] =
-                [("member", member), ("how", how), ("from", origin)];
+                [("member", member), ("how", reason), ("from", origin)];
             events::emit(&self.context.log, &events::MEMBER_LEAVES, &fields);
         }
     }
 
-    fn tell_peers(&self, since: Revision, scan: Scan) {
+    /// Pushes the rows to the next box by name and to some random ones.
+    fn push_to_peers(&self, since: Revision, scan: Scan) {
         if self.context.settings.fanout == 0 {
             return;
         }
-        let news = Update {
+        let update = Update {
             from: self.context.own_api_address().into(),
             since,
             scan,
         };
-        let random = self.context.settings.fanout.saturating_sub(1);
+        let random_peers = self.context.settings.fanout.saturating_sub(1);
         let next = self.next_peer().into_iter();
-        for listing in next.chain(self.some_peers(random)) {
-            let told = peers::push_update(self.context.clone(), listing.address, news.clone());
-            tokio::task::spawn_local(told);
+        for listing in next.chain(self.choose_peers(random_peers)) {
+            let push = peers::push_update(self.context.clone(), listing.address, update.clone());
+            tokio::task::spawn_local(push);
         }
     }
 
-    /// The box after this one in order of name. Random peers alone leave some box
-    /// out nearly always; passed on along this ring, news reaches every box.
+    /// Returns the box after this one in the order of names. Random peers alone would often miss
+    /// a box; along this ring an update reaches every box.
     fn next_peer(&self) -> Option<Listing> {
         let own = &self.context.settings.name;
         let boxes = self.boxes.borrow();
@@ -439,7 +439,8 @@
         next.or_else(first).filter(|l| l.name != *own).cloned()
     }
 
-    fn some_peers(&self, count: usize) -> Vec<Listing> {
+    /// Chooses other boxes at random.
+    fn choose_peers(&self, count: usize) -> Vec<Listing> {
         let own = &self.context.settings.name;
         let boxes = self.boxes.borrow().clone();
         let others: Vec<Listing> = boxes.iter().filter(|l| l.name != *own).cloned().collect();
@@ -447,68 +448,70 @@
         chosen.cloned().collect()
     }
 
-    fn news(&mut self, news: Update) {
-        if news.scan.head <= self.store.revision() && self.context.table.has_ordered_revisions() {
+    /// Applies an update that a peer pushed, and requests the peer's rows if it doesn't apply.
+    fn apply_update(&mut self, update: Update) {
+        if update.scan.head <= self.store.revision() && self.context.table.has_ordered_revisions() {
             return;
         }
-        let origin = Origin::Peer(news.from.clone());
-        if self.accept(&origin, news.since, news.scan) {
+        let origin = Origin::Peer(update.from.clone());
+        if self.apply_rows(&origin, update.since, update.scan) {
             return;
         }
-        self.ask_for_rows(news.from);
+        self.request_rows(update.from);
     }
 
-    /// Asks a peer for rows, unless it is being asked.
-    fn ask_for_rows(&mut self, peer: Arc<str>) {
-        if !self.asked.insert(peer.clone()) {
+    /// Requests rows from a peer, unless a request is pending.
+    fn request_rows(&mut self, peer: Arc<str>) {
+        if !self.requested_peers.insert(peer.clone()) {
             return;
         }
         let context = self.context.clone();
-        let question = self.question();
-        let asked = async move {
-            let scan = peers::fetch_rows(&context, &peer, &question).await;
-            let since = question.since;
-            Heard::Rows { peer, since, scan }
+        let request = self.scan_request();
+        let call = async move {
+            let scan = peers::fetch_rows(&context, &peer, &request).await;
+            let since = request.since;
+            PeerAnswer::Rows { peer, since, scan }
         };
-        self.questions.push(Box::pin(asked));
+        self.calls.push(Box::pin(call));
     }
 
-    fn ask_for_boxes(&mut self, peer: Arc<str>) {
+    fn request_boxes(&mut self, peer: Arc<str>) {
         let context = self.context.clone();
-        let asked = async move { Heard::Boxes(peers::fetch_boxes(&context, &peer).await) };
-        self.questions.push(Box::pin(asked));
+        let call = async move { PeerAnswer::Boxes(peers::fetch_boxes(&context, &peer).await) };
+        self.calls.push(Box::pin(call));
     }
 
-    fn hear(&mut self, heard: Heard) {
-        match heard {
-            Heard::Rows { peer, since, scan } => {
-                self.asked.remove(&peer);
+    fn handle_peer_answer(&mut self, answer: PeerAnswer) {
+        match answer {
+            PeerAnswer::Rows { peer, since, scan } => {
+                self.requested_peers.remove(&peer);
                 if let Some(scan) = scan {
-                    self.accept(&Origin::Peer(peer), since, scan);
+                    self.apply_rows(&Origin::Peer(peer), since, scan);
                 }
             }
-            Heard::Boxes(Some(boxes)) if self.boxes.borrow().is_empty() => {
+            PeerAnswer::Boxes(Some(boxes)) if self.boxes.borrow().is_empty() => {
                 self.set_boxes(boxes.into());
             }
-            Heard::Boxes(_) => {}
+            PeerAnswer::Boxes(_) => {}
         }
     }
 
-    /// While the table is down, a peer may know more.
-    fn ask_a_peer(&mut self) {
+    /// Requests rows from peers while the table is unavailable, and the list of boxes if this box
+    /// doesn't have it.
+    fn ask_peers(&mut self) {
         let own = self.context.own_api_address();
         let live = self.context.live.borrow().clone();
         let seeds = live.peers.iter();
         let seeds: Vec<Arc<str>> = seeds.filter(|seed| ***seed != *own).cloned().collect();
         if self.boxes.borrow().is_empty()
             && let Some(seed) = seeds.choose(&mut rand::rng())
-            && !self.asked.contains(seed)
+            && !self.requested_peers.contains(seed)
         {
-            self.ask_for_boxes(seed.clone());
-            self.ask_for_rows(seed.clone());
+            self.request_boxes(seed.clone());
+            self.request_rows(seed.clone());
         }
-        for listing in self.some_peers(1) {
-            self.ask_for_rows(listing.address);
+        for listing in self.choose_peers(1) {
+            self.request_rows(listing.address);
         }
     }
 }
