--- a/src/node/configuration/departures.rs
+++ b/src/node/configuration/departures.rs
@@ -1,4 +1,5 @@
-//! Since when members leave, for all groups of this box and for its peers.
+//! Tracks how long ago members announced that they leave, or were removed from the list. The
+//! groups of this box and its peers use these ages.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,125 +10,130 @@
 use crate::declarations::resource::{Key, Member};
 use crate::declarations::snapshot::{Manner, Snapshot};
 
-/// Time for which a member that is listed no more is remembered: far more than members
-/// serve on.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Time for which a departure is kept if the member is no longer listed, or an older copy of the
+/// table lists it as before. Much longer than statements are still sent to leaving members.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// Members that leave or are listed no more, and how long ago that was said.
+/// The members that leave or are no longer listed, and how long ago that was announced.
 #[derive(Default)]
 pub struct Departures {
-    iter: BTreeMap<Key, Departed>,
+    departures: BTreeMap<Key, Departing>,
 }
 
-/// How much older another box's age of a word has to be to count in place of one's own: what
-/// both have heard from the table differs by less.
-const OLDER: Duration = Duration::from_millis(500);
+/// Minimum difference at which another box's greater age replaces this box's own. Boxes that
+/// learn of an announcement from the table differ by less.
+const MIN_AGE_DIFFERENCE: Duration = Duration::from_millis(500);
 
-/// A member that departs.
+/// A member that leaves or is no longer listed.
 #[derive(Clone, Debug)]
-struct Departed {
+struct Departing {
     member: Member,
     departure: Departure,
-    /// Era of the table in which it was said, or in which it was last listed.
+    /// Era of the table in which the departure was announced, or the member was last listed.
     era: u64,
 }
 
-impl Departed {
-    /// Whether the word is taken back: by the member itself, or since it started again. An
-    /// older copy of the table that lists the member as it was before takes nothing back.
-    fn is_over(&self, listed: Option<&Listed>, now: Duration) -> bool {
-        let remembered = !self.departure.known_for(REMEMBERED, now);
+impl Departing {
+    /// Whether the departure has ended: the member withdrew its announcement or was restarted, or
+    /// has been missing for the retention time. During that time, an older copy of the table that
+    /// lists the member as it was before the announcement doesn't end the departure.
+    fn has_ended(&self, listed: Option<&Listed>, now: Duration) -> bool {
+        let retained = !self.departure.known_for(RETENTION, now);
         let Some(listed) = listed else {
-            return !remembered;
+            return !retained;
         };
-        let again = self.member.started_again(listed.member);
-        let lost = listed.revision.era() > self.era && remembered;
-        again || (!listed.member.leaving && !lost)
+        let restarted = self.member.started_again(listed.member);
+        let reverted = listed.revision.era() > self.era && retained;
+        restarted || (!listed.member.leaving && !reverted)
     }
 }
 
-/// A member as the table lists it.
+/// A member's entry in a snapshot.
 struct Listed<'a> {
     member: &'a Member,
     revision: Revision,
 }
 
-fn listed<'a>(snapshot: &'a Snapshot, key: &Key) -> Option<Listed<'a>> {
+fn find_member<'a>(snapshot: &'a Snapshot, key: &Key) -> Option<Listed<'a>> {
     let revision = snapshot.resources.get(key)?.revision;
     let member = snapshot.member(key)?;
     Some(Listed { member, revision })
 }
 
 impl Departures {
-    /// Takes over who departs by a snapshot that follows on another, and returns of whom that
-    /// is news. Its age is what `told` says, or at most `lag`; none where that is not known
-    /// either.
+    /// Updates the departures for a change from one snapshot to the next, and returns the new
+    /// ones. Their ages are taken from `ages`, as sent by another box, or else are `max_age`; both
+    /// may be unknown.
     pub fn update(
         &mut self,
         (before, snapshot): (&Snapshot, &Snapshot),
-        told: &DepartureAges,
-        lag: Option<Duration>,
+        ages: &DepartureAges,
+        max_age: Option<Duration>,
         now: Duration,
     ) -> Vec<(Key, Manner)> {
-        self.merge_ages(told, now);
-        self.iter
-            .retain(|key, known| !known.is_over(listed(snapshot, key).as_ref(), now));
+        self.merge_ages(ages, now);
+        self.departures
+            .retain(|key, known| !known.has_ended(find_member(snapshot, key).as_ref(), now));
         let departed: Vec<(Key, Manner)> = snapshot.departed_since(before).collect();
         for (key, _) in &departed {
-            let age = told.get(&row_key(key)).copied();
-            let age = age.map_or(lag, |age| age.map(Duration::from_millis));
-            let Some(last) = listed(snapshot, key).or(listed(before, key)) else {
+            let age = ages.get(&row_key(key)).copied();
+            let age = age.map_or(max_age, |age| age.map(Duration::from_millis));
+            let Some(last) = find_member(snapshot, key).or(find_member(before, key)) else {
                 continue;
             };
-            // A member that leaves, and whose entry goes or lapses later, left when it said so.
+            // If the entry of a leaving member is removed or expires later, the time of the
+            // announcement counts.
             let era = last.revision.era();
-            let known = self.iter.entry(key.clone()).or_insert_with(|| Departed {
-                member: last.member.clone(),
-                departure: Departure::with_age(now, age),
-                era,
-            });
-            // Said again after an older copy, it is the same word.
+            let known = self
+                .departures
+                .entry(key.clone())
+                .or_insert_with(|| Departing {
+                    member: last.member.clone(),
+                    departure: Departure::with_age(now, age),
+                    era,
+                });
+            // An announcement that is repeated after an older copy was restored remains the same.
             known.era = known.era.max(era);
         }
         departed
     }
 
-    /// Takes ages that another box has told, where this one has none or a younger one: it may
-    /// have heard a word only when that was written again. Whether any was.
-    pub fn merge_ages(&mut self, told: &DepartureAges, now: Duration) -> bool {
-        let mut learned = false;
-        for (key, known) in &mut self.iter {
-            let Some(age) = told.get(&row_key(key)).copied().flatten() else {
+    /// Adopts ages from another box where this box has none or a smaller one, as it may have
+    /// learned of an announcement only when that was repeated. Returns whether any age changed.
+    pub fn merge_ages(&mut self, ages: &DepartureAges, now: Duration) -> bool {
+        let mut changed = false;
+        for (key, known) in &mut self.departures {
+            let Some(age) = ages.get(&row_key(key)).copied().flatten() else {
                 continue;
             };
             let age = Duration::from_millis(age);
             let own = known.departure.age(now);
-            if own.is_none_or(|own| age > own + OLDER) {
+            if own.is_none_or(|own| age > own + MIN_AGE_DIFFERENCE) {
                 known.departure = Departure::with_age(now, Some(age));
-                learned = true;
+                changed = true;
             }
         }
-        learned
+        changed
     }
 
-    /// Whether some age is not known.
+    /// Whether the age of a departure is unknown.
     pub fn has_unknown_age(&self, now: Duration) -> bool {
-        let mut known = self.iter.values();
+        let mut known = self.departures.values();
         known.any(|known| known.departure.age(now).is_none())
     }
 
-    /// Ages by row, for a peer.
+    /// Returns the ages of all departures by row key, for a peer.
     pub fn ages(&self, now: Duration) -> DepartureAges {
-        let age = |known: &Departed| known.departure.age(now).map(|age| age.as_millis() as u64);
-        let known = self.iter.iter();
+        let age = |known: &Departing| known.departure.age(now).map(|age| age.as_millis() as u64);
+        let known = self.departures.iter();
         known
             .map(|(key, known)| (row_key(key), age(known)))
             .collect()
     }
 
-    /// Who departs, and since when.
+    /// Returns the members that leave or are no longer listed, with their departures.
     pub fn iter(&self) -> impl Iterator<Item = (&Member, Departure)> {
-        let known = self.iter.values();
+        let known = self.departures.values();
         known.map(|known| (&known.member, known.departure))
     }
 }
--- a/src/node/configuration/store.rs
+++ b/src/node/configuration/store.rs
@@ -1,4 +1,5 @@
-//! All rows that a box knows, and what they declare.
+//! Stores the rows of the platform's table that a box knows, and the resources and records that
+//! they contain.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,27 +20,26 @@
 use crate::node::duty::DUTY;
 use crate::node::updates::ScanRequest;
 
-/// A row, and when it was taken.
-struct Known {
+/// A row, and the sequence number of the scan that brought it.
+struct StoredRow {
     row: Row,
-    taken: u64,
+    sequence: u64,
 }
 
-/// All rows at one revision, and what they declare.
+/// All known rows and their parsed contents.
 #[derive(Default)]
 pub struct Store {
     revision: Revision,
-    rows: BTreeMap<Arc<str>, Known>,
-    /// Counts what was taken, in the order in which it came.
+    rows: BTreeMap<Arc<str>, StoredRow>,
+    /// Number of applied scans.
     sequence: u64,
-    /// Kept beside the rows, so that a change costs what it changes.
+    /// Parsed rows. Updated row by row, so that the cost of a scan depends on its size only.
     resources: BTreeMap<Key, Stored>,
     primaries: BTreeMap<Arc<str>, Primary>,
     duties: BTreeMap<Arc<str>, Duty>,
-    /// Revisions at which sections were last known whole.
+    /// Sections that are known completely, each with the revision at which it last was.
     complete_sections: BTreeMap<Section, Revision>,
-    /// Changes with every row that is there and its value, whatever the order they came
-    /// in.
+    /// Digest of all existing rows and their values, independent of the order of arrival.
     digest: u64,
 }
 
@@ -52,95 +52,99 @@
         self.digest
     }
 
-    /// How much was taken so far, for [`Store::taken_after`].
+    /// Returns the number of applied scans, for [`Store::scan_for_follower`].
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Revisions at which sections were last known whole.
+    /// Returns the sections that are known completely, each with the revision at which it last was.
     pub fn complete_sections(&self) -> &BTreeMap<Section, Revision> {
         &self.complete_sections
     }
 
-    /// Takes rows written after `since`, none of them missing. False if they
-    /// are old or leave a gap. What is no valid resource is left out and logged.
+    /// Applies a scan of all rows written after `since`. Returns false if it brings nothing new, or
+    /// if rows before `since` are missing. Invalid resources are logged and skipped.
     pub fn apply(&mut self, since: Revision, scan: &Scan, log: &Logger) -> bool {
         if since > self.revision {
             return false;
         }
-        let mut whole = self.newly_whole(&scan.whole);
+        let mut complete = self.current_sections(&scan.whole);
         if let Some(digest) = scan.same_as {
-            self.confirm(digest, std::mem::take(&mut whole));
+            self.confirm_sections(digest, std::mem::take(&mut complete));
         }
-        let mut news = self.gone(scan, &whole);
-        let told = scan.rows.iter();
-        news.extend(told.filter_map(|row| self.news(row, &whole)));
-        self.complete_sections.extend(whole);
-        if scan.head <= self.revision && news.is_empty() {
+        let mut changes = self.deleted_rows(scan, &complete);
+        let rows = scan.rows.iter();
+        changes.extend(rows.filter_map(|row| self.changed_row(row, &complete)));
+        self.complete_sections.extend(complete);
+        if scan.head <= self.revision && changes.is_empty() {
             return false;
         }
         self.sequence += 1;
-        for row in news {
-            self.put(row, log);
+        for row in changes {
+            self.insert_row(row, log);
         }
         self.revision = self.revision.max(scan.head);
         true
     }
 
-    /// Another box has the same rows, and knows sections whole as of these revisions: so
-    /// does this one, unless its rows changed meanwhile.
-    fn confirm(&mut self, digest: u64, whole: BTreeMap<Section, Revision>) {
+    /// Records that sections are complete as of these revisions, as a box with the same rows
+    /// reports; unless this box's rows have changed since its request.
+    fn confirm_sections(&mut self, digest: u64, complete: BTreeMap<Section, Revision>) {
         if digest == self.digest {
-            self.complete_sections.extend(whole);
+            self.complete_sections.extend(complete);
         }
     }
 
-    /// Those of the sections that another knows whole at least as late as this box does.
-    fn newly_whole(&self, told: &BTreeMap<Section, Revision>) -> BTreeMap<Section, Revision> {
-        let told = told.iter().map(|(section, at)| (*section, *at));
-        told.filter(|(section, at)| *at >= self.whole_at(*section))
+    /// Returns the complete sections that are not older than this box's own state of them.
+    fn current_sections(
+        &self,
+        sections: &BTreeMap<Section, Revision>,
+    ) -> BTreeMap<Section, Revision> {
+        let sections = sections.iter().map(|(section, at)| (*section, *at));
+        sections
+            .filter(|(section, at)| *at >= self.complete_at(*section))
             .collect()
     }
 
-    /// Revision as of which a section is known whole; the default where it is not.
-    fn whole_at(&self, section: Section) -> Revision {
+    /// Returns the revision at which a section was last complete; the default if it never was.
+    fn complete_at(&self, section: Section) -> Revision {
         self.complete_sections
             .get(&section)
             .copied()
             .unwrap_or_default()
     }
 
-    /// Rows that are not there any more, since a section that is known whole lacks them.
-    fn gone(&self, scan: &Scan, whole: &BTreeMap<Section, Revision>) -> Vec<Row> {
-        if whole.is_empty() {
+    /// Returns deletions of the known rows that are missing from complete sections.
+    fn deleted_rows(&self, scan: &Scan, complete: &BTreeMap<Section, Revision>) -> Vec<Row> {
+        if complete.is_empty() {
             return Vec::new();
         }
         let listed: BTreeSet<&Arc<str>> = scan.rows.iter().map(|row| &row.key).collect();
-        let gone = |known: &Known| {
+        let deletion = |known: &StoredRow| {
             let row = &known.row;
-            let at = *whole.get(&Section::of(&row.key))?;
-            let lacks = row.value.is_some() && row.revision <= at && !listed.contains(&row.key);
-            lacks.then(|| Row {
+            let at = *complete.get(&Section::of(&row.key))?;
+            let missing = row.value.is_some() && row.revision <= at && !listed.contains(&row.key);
+            missing.then(|| Row {
                 key: row.key.clone(),
                 revision: at,
                 value: None,
             })
         };
-        self.rows.values().filter_map(gone).collect()
+        self.rows.values().filter_map(deletion).collect()
     }
 
-    /// A row as it is to be taken, none if it is no news.
+    /// Returns a row as it is to be stored; none if it isn't newer than the known one.
     ///
-    /// A row's revision says when whoever told it saw it change, not as of when it holds:
-    /// a change that was taken back, or a row that came and went, leaves no mark with a box
-    /// that read only before and after. What a section that is known whole says goes
-    /// before older rows, by whatever revision it names them.
-    fn news(&self, row: &Row, whole: &BTreeMap<Section, Revision>) -> Option<Row> {
+    /// A row's revision is the one at which its sender noticed the change, and boxes may differ
+    /// in it: a box that reads the table only before and after a change that is then reverted, or
+    /// a row that is created and then deleted, doesn't notice them. A complete section therefore
+    /// overrules rows older than the section, whatever revisions it gives them.
+    fn changed_row(&self, row: &Row, complete: &BTreeMap<Section, Revision>) -> Option<Row> {
         let section = Section::of(&row.key);
         let known = self.rows.get(&row.key).map(|known| &known.row);
         let newest = known.map_or(Revision::NONE, |known| known.revision);
-        let Some(at) = whole.get(&section) else {
-            let newer = row.revision > newest.max(self.whole_at(section));
+        let Some(at) = complete.get(&section) else {
+            let newer = row.revision > newest.max(self.complete_at(section));
             return newer.then(|| row.clone());
         };
         if row.revision > newest {
@@ -153,35 +157,37 @@
         })
     }
 
-    fn put(&mut self, row: Row, log: &Logger) {
-        if let Err(error) = self.declare(&row) {
+    fn insert_row(&mut self, row: Row, log: &Logger) {
+        if let Err(error) = self.parse_row(&row) {
             let fields: [(_, &dyn std::fmt::Display); 2] = [("row", &row.key), ("error", &error)];
             events::emit(log, &events::BAD_ROW, &fields);
         }
-        let taken = self.sequence;
-        self.digest ^= mark(&row);
-        let known = self.rows.insert(row.key.clone(), Known { row, taken });
-        self.digest ^= known.map_or(0, |known| mark(&known.row));
+        let sequence = self.sequence;
+        self.digest ^= row_digest(&row);
+        let known = self
+            .rows
+            .insert(row.key.clone(), StoredRow { row, sequence });
+        self.digest ^= known.map_or(0, |known| row_digest(&known.row));
     }
 
-    /// Takes over what one row declares.
-    fn declare(&mut self, row: &Row) -> Result<(), String> {
+    /// Parses a row and stores its contents.
+    fn parse_row(&mut self, row: &Row) -> Result<(), String> {
         let revision = row.revision;
         if let Some(group) = row.key.strip_prefix(PRIMARY_PREFIX) {
             self.primaries.remove(group);
-            let told = parsed::<Primary>(row)?;
-            let primary = told.map(|told| (group.into(), Primary { revision, ..told }));
+            let primary = parse_value::<Primary>(row)?;
+            let primary = primary.map(|read| (group.into(), Primary { revision, ..read }));
             self.primaries.extend(primary);
             return Ok(());
         }
         if let Some(group) = row.key.strip_prefix(DUTY) {
             let known = self.duties.remove(group);
-            let told = parsed::<Duty>(row);
-            // An unreadable record names no holder; whoever takes the duty replaces it.
-            let duty = told.as_ref().map_or(Some(Duty::default()), Option::clone);
+            let parsed = parse_value::<Duty>(row);
+            // An unreadable record has no holder, and the next box to claim the duty replaces it.
+            let duty = parsed.as_ref().map_or(Some(Duty::default()), Option::clone);
             let duty = newest_duty(known, duty, revision);
             self.duties.extend(duty.map(|duty| (group.into(), duty)));
-            return told.map(|_| ());
+            return parsed.map(|_| ());
         }
         let key = row.key.strip_prefix(RESOURCE_PREFIX).and_then(Key::parse);
         let key = key.ok_or("unknown kind of row")?;
@@ -189,29 +195,29 @@
         let Some(value) = &row.value else {
             return Ok(());
         };
-        let stored = resource(row, &key, value)?;
+        let stored = parse_resource(row, &key, value)?;
         self.resources.insert(key, stored);
         Ok(())
     }
 
-    /// What a peer does not have yet.
-    pub fn scan_for_peer(&self, question: &ScanRequest) -> Scan {
-        match question.digest == self.digest {
-            true => self.same(),
-            false => self.scan_since(question.since),
+    /// Returns the rows that a peer lacks.
+    pub fn scan_for_peer(&self, request: &ScanRequest) -> Scan {
+        match request.digest == self.digest {
+            true => self.unchanged(),
+            false => self.scan_since(request.since),
         }
     }
 
-    /// What a follower with this digest does not have yet: all, or what was taken after a
-    /// moment, whatever its revisions.
+    /// Returns the rows that a follower with this digest lacks: those that changed after the given
+    /// sequence number, whatever their revisions, or all rows without one.
     pub fn scan_for_follower(&self, digest: u64, after: Option<u64>) -> Scan {
         if digest == self.digest {
-            return self.same();
+            return self.unchanged();
         }
         let Some(after) = after else {
             return self.scan_since(Revision::NONE);
         };
-        let newer = self.rows.values().filter(|known| known.taken > after);
+        let newer = self.rows.values().filter(|known| known.sequence > after);
         Scan {
             head: self.revision,
             rows: newer.map(|known| known.row.clone()).collect(),
@@ -219,8 +225,8 @@
         }
     }
 
-    /// For whoever has the same rows.
-    fn same(&self) -> Scan {
+    /// Returns the answer to a box that has the same rows.
+    fn unchanged(&self) -> Scan {
         Scan {
             head: self.revision,
             whole: self.complete_sections.clone(),
@@ -229,6 +235,7 @@
         }
     }
 
+    /// Returns the rows with a later revision than `since`.
     pub fn scan_since(&self, since: Revision) -> Scan {
         let rows = self.rows.values().map(|known| &known.row);
         let newer = rows.filter(|row| row.revision > since);
@@ -253,30 +260,30 @@
     }
 }
 
-/// The duty that was taken last, with the revision that the next one to take it must name. An
-/// older copy of the table holds an earlier one or none, and generations must not fall.
-fn newest_duty(known: Option<Duty>, told: Option<Duty>, revision: Revision) -> Option<Duty> {
-    // That it is not there is known as of an era too: a claim of the one before has ended.
+/// Returns the duty that was claimed last, with the revision that the next claim must expect. An
+/// older copy of the table contains an earlier duty or none, and generations must not decrease.
+fn newest_duty(known: Option<Duty>, read: Option<Duty>, revision: Revision) -> Option<Duty> {
+    // The absence of a record counts for its era too: a claim of an earlier era has ended.
     let absent = Revision::new(revision.era(), 0);
-    let revision = told.as_ref().map_or(absent, |_| revision);
-    let newest = match (known, told) {
-        (Some(known), Some(told)) if told.generation >= known.generation => Some(told),
+    let revision = read.as_ref().map_or(absent, |_| revision);
+    let newest = match (known, read) {
+        (Some(known), Some(read)) if read.generation >= known.generation => Some(read),
         (Some(known), _) => Some(known),
-        (None, told) => told,
+        (None, read) => read,
     };
     newest.map(|duty| Duty { revision, ..duty })
 }
 
-/// What a row holds, none if it was deleted.
-fn parsed<T: DeserializeOwned>(row: &Row) -> Result<Option<T>, String> {
+/// Parses the value of a row; none if the row was deleted.
+fn parse_value<T: DeserializeOwned>(row: &Row) -> Result<Option<T>, String> {
     let value = row.value.clone().map(serde_json::from_value);
     value.transpose().map_err(|error| error.to_string())
 }
 
-/// A row's part of the digest; none once it is gone. The revision's number has no part in it:
-/// boxes that learn of a row by different ways may know it by different ones. A record's era
-/// has: whoever replaces the record has to name a revision of the copy that is there.
-fn mark(row: &Row) -> u64 {
+/// Returns a row's part of the digest; zero if the row was deleted. Revision numbers aren't
+/// included, as boxes may know a row by different ones. The era of a record is: replacing the
+/// record requires a revision of the current copy of the table.
+fn row_digest(row: &Row) -> u64 {
     let Some(value) = &row.value else {
         return 0;
     };
@@ -288,7 +295,7 @@
     xxh3_64_with_seed(row.key.as_bytes(), value)
 }
 
-fn resource(row: &Row, key: &Key, value: &Value) -> Result<Stored, String> {
+fn parse_resource(row: &Row, key: &Key, value: &Value) -> Result<Stored, String> {
     let entry = Entry::from_json(key.kind.name(), &row.key, value).map_err(|f| f.to_string())?;
     let spec = check::one(&entry).map_err(|findings| findings[0].to_string())?;
     let revision = row.revision;
