--- a/src/node/updates.rs
+++ b/src/node/updates.rs
@@ -57,7 +57,8 @@
     /// The complete list of boxes, if newer than the follower's.
     pub boxes: Option<Vec<Listing>>,
     pub boxes_revision: Revision,
-    /// Milliseconds since the table last answered the reader; none if the table is unavailable.
+    /// Milliseconds since the table last answered the reader; none if the reader has paused polling
+    /// or the table is unavailable.
     pub heard_ms: Option<u64>,
 }
 
