--- a/src/node/driver/partition.rs
+++ b/src/node/driver/partition.rs
@@ -86,7 +86,7 @@
         let targets = alert_targets(&boxes, &settings.name, &settings.domain, &mut rand::rng());
         for target in targets {
             self.context.metrics.cut_warnings.add(1, &[]);
-            let alert = peers::warn(self.context.clone(), target.address.clone());
+            let alert = peers::send_partition_alert(self.context.clone(), target.address.clone());
             tokio::task::spawn_local(alert);
         }
     }
@@ -182,7 +182,7 @@
     owners: Vec<Arc<str>>,
 ) -> Option<bool> {
     let asked = owners.iter();
-    let asked = asked.map(|owner| peers::reaches(&context, owner, &group));
+    let asked = asked.map(|owner| peers::fetch_reach(&context, owner, &group));
     let replies = futures::future::join_all(asked).await;
     replies.into_iter().flatten().next()
 }
--- a/src/node/session.rs
+++ b/src/node/session.rs
@@ -87,7 +87,7 @@
         match pinned.owner {
             None => self.owner.abandon(pinned.id),
             Some(address) => {
-                let abandoned = peers::abandon(self.context.clone(), address, pinned.id);
+                let abandoned = peers::abandon_lease(self.context.clone(), address, pinned.id);
                 tokio::task::spawn_local(abandoned);
             }
         }
@@ -171,7 +171,7 @@
         if let Failure::NotRun(_) = failure {
             self.context.metrics.not_run.add(1, &[]);
         }
-        if failure.speaks_for_cut() {
+        if failure.suggests_partition() {
             let _ = self.context.decisions.send(Message::ExchangeRefused);
         }
         self.pinned = None;
@@ -212,7 +212,7 @@
                 continue;
             }
             let elapsed = self.context.now() - start;
-            let Some(remaining) = exchange.after(elapsed) else {
+            let Some(remaining) = exchange.with_elapsed(elapsed) else {
                 break;
             };
             let local = owner.name == self.context.settings.name;
--- a/tests/platform/silent_connections.rs
+++ b/tests/platform/silent_connections.rs
@@ -4,8 +4,8 @@
 
 use googletest::prelude::*;
 use larkfall::http::{self, Client};
-use larkfall::node::news::Question;
 use larkfall::node::peers;
+use larkfall::node::updates::ScanRequest;
 use larkfall::platform::table;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -86,7 +86,7 @@
     let control = settings.control;
     let _box = Process::start(settings);
     let client = Client::new([127, 0, 0, 1].into());
-    let question = rmp_serde::to_vec(&Question {
+    let question = rmp_serde::to_vec(&ScanRequest {
         since: 0.into(),
         digest: 1,
     });
