--- a/src/commands/run.rs
+++ b/src/commands/run.rs
@@ -16,7 +16,7 @@
         }
     };
     let log = events::logger(settings.log);
-    let ports = ports::standin(&settings);
+    let ports = ports::build(&settings);
     hold_settings(&log)?;
     node::run::run(settings, Settings::default(), ports, log, stopped()?).await?;
     Ok(Exit::Done)
--- a/src/commands/standin.rs
+++ b/src/commands/standin.rs
@@ -28,7 +28,7 @@
     let control = control.context("can't listen on the control port")?;
     let member = Member::new(settings)?;
     tokio::task::spawn_local(control::replicate(member.clone()));
-    tokio::task::spawn_local(control::apply(member.clone()));
+    tokio::task::spawn_local(control::apply_entries(member.clone()));
     tokio::try_join!(
         session::serve(member.clone(), sql),
         control::serve(member, control)
--- a/src/standin/control.rs
+++ b/src/standin/control.rs
@@ -250,7 +250,7 @@
 }
 
 /// Applies received entries when their lag is over, for as long as the member lives.
-pub async fn apply(member: Arc<Member>) {
+pub async fn apply_entries(member: Arc<Member>) {
     loop {
         let wait = match member.apply_due().await {
             Some(wait) => wait.min(Duration::from_millis(5)),
--- a/src/standin/ports.rs
+++ b/src/standin/ports.rs
@@ -11,7 +11,7 @@
 use crate::postgres::entry::Front;
 
 /// Ports for these settings.
-pub fn standin(settings: &Run) -> Ports {
+pub fn build(settings: &Run) -> Ports {
     let client = Client::new(settings.ip);
     let from = settings.ip;
     let platform = Rc::new(Platform::new(client.clone(), settings.platform.clone()));
--- a/src/trial/host.rs
+++ b/src/trial/host.rs
@@ -128,7 +128,7 @@
         let name = format!("box-{}", settings.name);
         Thread::start(name, move |stop| {
             let log = events::logger(settings.log);
-            let ports = ports::standin(&settings);
+            let ports = ports::build(&settings);
             node::run::run(settings, decisions, ports, log, stop)
         })
     }
