--- a/src/standin/faults.rs
+++ b/src/standin/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a stand-in can be switched to, and the gate that brings them about.
+//! Faults that tests inject into a stand-in, and the gate that applies them to requests.
 
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex};
@@ -7,35 +7,37 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-/// What is wrong with a stand-in. All off by default.
+/// Injected faults; none by default.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Answers nobody while set.
+    /// Requests wait until this is unset.
     pub frozen: bool,
-    /// Prefixes of IP numbers that get no answer, as `127.0.2.`.
+    /// Prefixes of IP addresses that are cut off, such as `127.0.2.`. Their requests wait.
     pub cut: Vec<String>,
-    /// One way between failure domains (other prefixes of three numbers), in milliseconds.
+    /// Delay of each request and each answer between failure domains, in milliseconds. Addresses
+    /// of one failure domain share the first three numbers.
     pub delay_ms: u64,
-    /// Answers are thrown away after the work is done.
+    /// Requests are carried out, but not answered.
     pub drop_answers: bool,
-    /// Requests are refused at once.
+    /// Requests are refused without delay.
     pub refuse: bool,
 }
 
-/// Shared switch. Whoever serves passes through [`Gate::enter`] and [`Gate::leave`].
+/// The current faults of a stand-in. Servers call [`Gate::enter`] before they handle a request
+/// and [`Gate::leave`] before they answer.
 #[derive(Clone)]
 pub struct Gate {
-    own: IpAddr,
+    ip: IpAddr,
     faults: Arc<Mutex<Faults>>,
     changed: Arc<Notify>,
 }
 
 impl Gate {
-    /// The gate of a stand-in that listens on `own`.
-    pub fn new(own: IpAddr) -> Self {
+    /// Creates the gate of a stand-in that listens on `ip`.
+    pub fn new(ip: IpAddr) -> Self {
         Self {
-            own,
+            ip,
             faults: Arc::default(),
             changed: Arc::default(),
         }
@@ -50,45 +52,46 @@
         self.faults.lock().expect("no panic under the lock").clone()
     }
 
-    /// Waits while the stand-in is frozen or cut off from `peer`.
+    /// Waits while the stand-in is frozen or cut off from `peer`, then for the delay.
     pub async fn enter(&self, peer: IpAddr) {
-        self.open(peer).await;
+        self.wait_until_reachable(peer).await;
         let delay = self.get().delay_ms;
-        if delay > 0 && !self.is_near(peer) {
+        if delay > 0 && !self.is_in_same_domain(peer) {
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
     }
 
-    /// The way back: the same waits, and nothing at all when answers are dropped.
+    /// Waits like [`Gate::enter`], and for as long as answers are dropped.
     pub async fn leave(&self, peer: IpAddr) {
         self.enter(peer).await;
         while self.get().drop_answers {
-            self.wait().await;
+            self.wait_for_change().await;
         }
     }
 
-    /// Whether a caller is in the same failure domain.
-    fn is_near(&self, peer: IpAddr) -> bool {
-        match (self.own, peer) {
-            (IpAddr::V4(own), IpAddr::V4(peer)) => own.octets()[..3] == peer.octets()[..3],
+    /// Whether the peer is in the same failure domain.
+    fn is_in_same_domain(&self, peer: IpAddr) -> bool {
+        match (self.ip, peer) {
+            (IpAddr::V4(ip), IpAddr::V4(peer)) => ip.octets()[..3] == peer.octets()[..3],
             _ => true,
         }
     }
 
-    async fn open(&self, peer: IpAddr) {
+    async fn wait_until_reachable(&self, peer: IpAddr) {
         while self.blocks(peer) {
-            self.wait().await;
+            self.wait_for_change().await;
         }
     }
 
     fn blocks(&self, peer: IpAddr) -> bool {
         let faults = self.get();
-        let text = peer.to_string();
-        faults.frozen || faults.cut.iter().any(|prefix| text.starts_with(prefix))
+        let peer_ip = peer.to_string();
+        faults.frozen || faults.cut.iter().any(|prefix| peer_ip.starts_with(prefix))
     }
 
-    async fn wait(&self) {
-        let again = Duration::from_millis(20);
-        let _ = tokio::time::timeout(again, self.changed.notified()).await;
+    async fn wait_for_change(&self) {
+        // A change between the caller's check and this wait isn't notified.
+        let recheck_interval = Duration::from_millis(20);
+        let _ = tokio::time::timeout(recheck_interval, self.changed.notified()).await;
     }
 }
