--- a/src/standin/control.rs
+++ b/src/standin/control.rs
@@ -1,4 +1,4 @@
-//! The control protocol of a stand-in member, both ends: HTTP with `rmp-serde`.
+//! Client and server of a stand-in member's control protocol: HTTP with MessagePack.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -20,22 +20,37 @@
 use super::faults::{Faults, Gate};
 use super::member::{Batch, Member};
 use crate::borders::member::Fence;
-use crate::borders::member::{Member as Border, MemberError, Members, Order, Status, Stream};
-use crate::declarations::resource::{Address, Member as Declared};
+use crate::borders::member::{
+    Member as MemberControl, MemberError, Members, Order, Status, Stream,
+};
+use crate::declarations::resource::{Address, Member as DeclaredMember};
 use crate::http::{Client, HttpError};
 
-const ANSWER_WAIT: Duration = Duration::from_secs(1);
-const SHIP_HOLD: Duration = Duration::from_millis(150);
-const SHIP_WAIT: Duration = Duration::from_millis(600);
-const SHIP_RETRY: Duration = Duration::from_millis(30);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time that a primary waits for new entries before it answers with an empty batch, as a
+/// heartbeat.
+const SHIP_POLL_WAIT: Duration = Duration::from_millis(150);
+const SHIP_TIMEOUT: Duration = Duration::from_millis(600);
+const SHIP_RETRY_DELAY: Duration = Duration::from_millis(30);
 
 #[derive(Serialize, Deserialize)]
 enum Request {
     Status,
-    Fence { term: u64 },
-    Promote { term: u64 },
-    Follow { term: u64, primary: Address },
-    Ship { term: u64, from: u64 },
+    Fence {
+        term: u64,
+    },
+    Promote {
+        term: u64,
+    },
+    Follow {
+        term: u64,
+        primary: Address,
+    },
+    /// Requests the entries after the first `from` entries.
+    Ship {
+        term: u64,
+        from: u64,
+    },
 }
 
 #[derive(Serialize, Deserialize)]
@@ -49,8 +64,8 @@
 /// Serves a member's control port until the listener fails.
 pub async fn serve(member: Arc<Member>, listener: TcpListener) -> std::io::Result<()> {
     let gated = Router::new()
-        .route("/control", post(control))
-        .layer(from_fn_with_state(member.gate.clone(), through_gate))
+        .route("/control", post(handle_control))
+        .layer(from_fn_with_state(member.gate.clone(), apply_faults))
         .with_state(member.clone());
     let faults = faults_router(member.gate.clone());
     let lag = Router::new()
@@ -61,7 +76,7 @@
     axum::serve(listener, service).await
 }
 
-/// `GET` and `POST /faults`, which pass no gate.
+/// Returns the router of `/faults`, to which no faults apply.
 pub fn faults_router(gate: Gate) -> Router {
     Router::new()
         .route("/faults", get(get_faults).post(set_faults))
@@ -80,8 +95,8 @@
     member.state().lag = Duration::from_millis(ms);
 }
 
-/// Brings about the switched faults around a request.
-pub async fn through_gate(
+/// Applies the current faults to a request and its answer.
+pub async fn apply_faults(
     State(gate): State<Gate>,
     ConnectInfo(peer): ConnectInfo<SocketAddr>,
     request: HttpRequest,
@@ -96,18 +111,21 @@
     response
 }
 
-async fn control(State(member): State<Arc<Member>>, body: Bytes) -> Response {
+async fn handle_control(State(member): State<Arc<Member>>, body: Bytes) -> Response {
     let Ok(request) = rmp_serde::from_slice(&body) else {
         return StatusCode::BAD_REQUEST.into_response();
     };
-    let done = match request {
+    let result = match request {
         Request::Status => Ok(Reply::Status(member.state().status())),
         Request::Fence { term } => member.fence(term).map(Reply::Status),
         Request::Promote { term } => member.promote(term).await.map(Reply::Status),
         Request::Follow { term, primary } => member.follow(term, primary).map(Reply::Status),
-        Request::Ship { term, from } => member.ship(term, from, SHIP_HOLD).await.map(Reply::Batch),
+        Request::Ship { term, from } => member
+            .ship(term, from, SHIP_POLL_WAIT)
+            .await
+            .map(Reply::Batch),
     };
-    let reply = done.unwrap_or_else(|error| match error {
+    let reply = result.unwrap_or_else(|error| match error {
         MemberError::Fenced { promised } => Reply::Fenced { promised },
         other => Reply::Failed(other.to_string()),
     });
@@ -116,20 +134,20 @@
         .into_response()
 }
 
-/// The caller's end of the control protocol.
+/// Control client of one member.
 pub struct Remote {
     client: Client,
     address: Address,
-    from: IpAddr,
+    source: IpAddr,
 }
 
 impl Remote {
-    async fn call(&self, request: &Request, wait: Duration) -> Result<Reply, MemberError> {
+    async fn call(&self, request: &Request, timeout: Duration) -> Result<Reply, MemberError> {
         let body = rmp_serde::to_vec(request).expect("a request is plain data");
-        let sent = self
+        let answer = self
             .client
-            .post(&self.address.control, "/control", body, wait);
-        let bytes = sent.await.map_err(|error| match error {
+            .post(&self.address.control, "/control", body, timeout);
+        let bytes = answer.await.map_err(|error| match error {
             HttpError::Unsent(_) | HttpError::Broken(_) => MemberError::Broken,
             HttpError::Late => MemberError::TimedOut,
             HttpError::Status { code, .. } => MemberError::InvalidAnswer(format!("status {code}")),
@@ -143,8 +161,8 @@
         }
     }
 
-    async fn status_of(&self, request: &Request) -> Result<Status, MemberError> {
-        match self.call(request, ANSWER_WAIT).await? {
+    async fn call_for_status(&self, request: &Request) -> Result<Status, MemberError> {
+        match self.call(request, ANSWER_TIMEOUT).await? {
             Reply::Status(status) => Ok(status),
             _ => Err(MemberError::InvalidAnswer("not a status".to_owned())),
         }
@@ -152,14 +170,14 @@
 }
 
 #[async_trait(?Send)]
-impl Border for Remote {
+impl MemberControl for Remote {
     async fn status(&self) -> Result<Status, MemberError> {
-        self.status_of(&Request::Status).await
+        self.call_for_status(&Request::Status).await
     }
 
-    async fn fence(&self, bid: &Fence) -> Result<Status, MemberError> {
-        let term = bid.term;
-        self.status_of(&Request::Fence { term }).await
+    async fn fence(&self, fence: &Fence) -> Result<Status, MemberError> {
+        let term = fence.term;
+        self.call_for_status(&Request::Fence { term }).await
     }
 
     async fn promote(
@@ -168,12 +186,13 @@
         _: &Order,
         _: &dyn Fn() -> bool,
     ) -> Result<Status, MemberError> {
-        self.status_of(&Request::Promote { term }).await
+        self.call_for_status(&Request::Promote { term }).await
     }
 
     async fn follow(&self, term: u64, primary: &Address) -> Result<Status, MemberError> {
         let primary = primary.clone();
-        self.status_of(&Request::Follow { term, primary }).await
+        self.call_for_status(&Request::Follow { term, primary })
+            .await
     }
 
     async fn wait_until_gone(&self) {
@@ -183,59 +202,64 @@
         let Ok(socket) = TcpSocket::new_v4() else {
             return;
         };
-        let _ = socket.bind(SocketAddr::new(self.from, 0));
+        let _ = socket.bind(SocketAddr::new(self.source, 0));
+        // The connection is idle until the member's process ends.
         if let Ok(mut stream) = socket.connect(address).await {
             let _ = stream.read_u8().await;
         }
     }
 }
 
-/// Makes control ends that call from one address.
+/// Creates control clients that connect from one local address.
 pub struct Remotes {
     pub client: Client,
-    pub from: IpAddr,
+    pub source: IpAddr,
 }
 
 impl Members for Remotes {
-    fn member(&self, declared: &Declared) -> Rc<dyn Border> {
+    fn member(&self, declared: &DeclaredMember) -> Rc<dyn MemberControl> {
         Rc::new(Remote {
             client: self.client.clone(),
             address: declared.address.clone(),
-            from: self.from,
+            source: self.source,
         })
     }
 }
 
-/// Takes entries from the primary this member follows, for as long as it lives.
+/// Fetches entries from the primary that the member follows. Never returns.
 pub async fn replicate(member: Arc<Member>) {
     let client = Client::new(member.settings.ip);
     loop {
         let (term, from, primary) = {
             let state = member.state();
-            (state.promised, state.last().index, state.primary.clone())
+            (
+                state.promised,
+                state.last_position().index,
+                state.primary.clone(),
+            )
         };
         let Some(address) = primary else {
-            let _ = tokio::time::timeout(SHIP_HOLD, member.refollow.notified()).await;
+            let _ = tokio::time::timeout(SHIP_POLL_WAIT, member.primary_changed.notified()).await;
             continue;
         };
         member.gate.enter(member.settings.ip).await;
         let remote = Remote {
             client: client.clone(),
             address,
-            from: member.settings.ip,
+            source: member.settings.ip,
         };
         let request = Request::Ship { term, from };
         let shipped = tokio::select! {
-            shipped = remote.call(&request, SHIP_WAIT) => shipped,
-            () = member.refollow.notified() => continue,
+            shipped = remote.call(&request, SHIP_TIMEOUT) => shipped,
+            () = member.primary_changed.notified() => continue,
         };
-        if !took(&member, shipped).await {
-            tokio::time::sleep(SHIP_RETRY).await;
+        if !receive_shipped(&member, shipped).await {
+            tokio::time::sleep(SHIP_RETRY_DELAY).await;
         }
     }
 }
 
-async fn took(member: &Arc<Member>, shipped: Result<Reply, MemberError>) -> bool {
+async fn receive_shipped(member: &Arc<Member>, shipped: Result<Reply, MemberError>) -> bool {
     match shipped {
         Ok(Reply::Batch(batch)) => {
             let _ = member.receive(batch).await;
@@ -249,7 +273,7 @@
     }
 }
 
-/// Applies received entries when their lag is over, for as long as the member lives.
+/// Applies received entries when their lag is over. Never returns.
 pub async fn apply_entries(member: Arc<Member>) {
     loop {
         let wait = match member.apply_due().await {
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -1,8 +1,8 @@
 //! The SQL engine of a stand-in member: SQLite in memory behind PostgreSQL's dialect.
 //!
-//! Statements are parsed in PostgreSQL's dialect, casts are rewritten, and the
-//! types of parameters and columns are guessed from casts and declared columns,
-//! well enough for clients that ask for binary formats.
+//! The engine parses statements in PostgreSQL's dialect and rewrites their casts for SQLite. It
+//! infers the types of parameters and columns from casts and column declarations, as clients
+//! that use binary formats need them.
 
 use std::collections::HashMap;
 use std::ops::ControlFlow;
@@ -16,6 +16,7 @@
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::parser::Parser;
 
+/// Object ids of PostgreSQL's types.
 pub mod oid {
     pub const BOOL: u32 = 16;
     pub const BYTEA: u32 = 17;
@@ -27,14 +28,15 @@
     pub const FLOAT4: u32 = 700;
 }
 
-/// An error as a caller sees it.
+/// An error that is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct QueryError {
+    /// SQLSTATE.
     pub code: &'static str,
     pub message: String,
 }
 
-impl Fault {
+impl QueryError {
     pub fn new(code: &'static str, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -43,9 +45,9 @@
     }
 }
 
-/// What a statement is, as far as the member must tell them apart.
+/// How the member handles a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verb {
+pub enum Kind {
     Empty,
     Begin,
     Commit,
@@ -61,25 +63,30 @@
     pub oid: u32,
 }
 
-/// A statement that is ready to run.
+/// A parsed statement with its types.
 #[derive(Clone, Debug)]
 pub struct Prepared {
-    pub verb: Verb,
+    pub kind: Kind,
+    /// The statement in SQLite's dialect.
     pub sql: String,
+    /// Types of the parameters.
     pub params: Vec<u32>,
     pub columns: Vec<Column>,
     tag: &'static str,
 }
 
-/// The rows and the command tag of one run.
+/// Result of running a statement.
 pub struct Answer {
     pub rows: Vec<Vec<Value>>,
+    /// Command tag, with the number of rows if the command reports it.
     pub tag: String,
 }
 
+/// An SQLite database in memory.
 pub struct Engine {
     connection: Connection,
-    /// Declared types by column name; the stand-in takes names to be unambiguous.
+    /// Declared types by column name. Columns of the same name in several tables are assumed to
+    /// have the same type.
     columns: HashMap<String, u32>,
 }
 
@@ -91,44 +98,46 @@
         })
     }
 
-    /// Splits a simple query into prepared statements' texts.
-    pub fn split(sql: &str) -> Result<Vec<Statement>, Fault> {
+    /// Parses the statements of a query string.
+    pub fn parse(sql: &str) -> Result<Vec<Statement>, QueryError> {
         Parser::parse_sql(&PostgreSqlDialect {}, sql)
-            .map_err(|error| Fault::new("42601", error.to_string()))
+            .map_err(|error| QueryError::new("42601", error.to_string()))
     }
 
-    pub fn prepare(&self, sql: &str, declared: &[u32]) -> Result<Prepared, Fault> {
-        let mut statements = Self::split(sql)?;
+    /// Prepares a single statement. `declared` holds the parameter types that the client declares;
+    /// 0 leaves a type to be inferred.
+    pub fn prepare(&self, sql: &str, declared: &[u32]) -> Result<Prepared, QueryError> {
+        let mut statements = Self::parse(sql)?;
         match statements.len() {
-            0 => Ok(plain(Verb::Empty, "")),
-            1 => self.prepare_one(&mut statements[0], declared),
-            _ => Err(Fault::new(
+            0 => Ok(without_result(Kind::Empty, "")),
+            1 => self.prepare_statement(&mut statements[0], declared),
+            _ => Err(QueryError::new(
                 "42601",
                 "cannot insert multiple commands into a prepared statement",
             )),
         }
     }
 
-    pub fn prepare_one(
+    pub fn prepare_statement(
         &self,
         statement: &mut Statement,
         declared: &[u32],
-    ) -> Result<Prepared, Fault> {
+    ) -> Result<Prepared, QueryError> {
         match statement {
-            Statement::StartTransaction { .. } => return Ok(plain(Verb::Begin, "BEGIN")),
-            Statement::Commit { .. } => return Ok(plain(Verb::Commit, "COMMIT")),
-            Statement::Rollback { .. } => return Ok(plain(Verb::Rollback, "ROLLBACK")),
-            Statement::Set(_) => return Ok(plain(Verb::Set, "SET")),
+            Statement::StartTransaction { .. } => return Ok(without_result(Kind::Begin, "BEGIN")),
+            Statement::Commit { .. } => return Ok(without_result(Kind::Commit, "COMMIT")),
+            Statement::Rollback { .. } => return Ok(without_result(Kind::Rollback, "ROLLBACK")),
+            Statement::Set(_) => return Ok(without_result(Kind::Set, "SET")),
             _ => {}
         }
-        let params = self.param_types(statement, declared);
-        let guessed = self.column_types(statement);
-        let (verb, tag) = verb_of(statement);
+        let params = self.infer_param_types(statement, declared);
+        let inferred = self.infer_column_types(statement);
+        let (kind, tag) = classify(statement);
         rewrite_casts(statement);
         let sql = statement.to_string();
-        let columns = self.columns_of(&sql, &guessed)?;
+        let columns = self.result_columns(&sql, &inferred)?;
         Ok(Prepared {
-            verb,
+            kind,
             sql,
             params,
             columns,
@@ -136,64 +145,71 @@
         })
     }
 
-    fn columns_of(&self, sql: &str, guessed: &[Option<u32>]) -> Result<Vec<Column>, Fault> {
-        let statement = self.connection.prepare_cached(sql).map_err(fault)?;
+    fn result_columns(
+        &self,
+        sql: &str,
+        inferred: &[Option<u32>],
+    ) -> Result<Vec<Column>, QueryError> {
+        let statement = self.connection.prepare_cached(sql).map_err(query_error)?;
         let columns = statement.columns();
         let column = |(i, column): (usize, &rusqlite::Column)| Column {
             name: column.name().to_owned(),
             oid: column
                 .decl_type()
                 .map(oid_of_name)
-                .or(guessed.get(i).copied().flatten())
+                .or(inferred.get(i).copied().flatten())
                 .unwrap_or(oid::TEXT),
         };
         Ok(columns.iter().enumerate().map(column).collect())
     }
 
-    /// Runs a read or a write; the caller keeps transactions.
-    pub fn run(&mut self, prepared: &Prepared, params: &[Value]) -> Result<Answer, Fault> {
-        let answer = self.run_inner(prepared, params)?;
+    /// Runs a read or a write in the transaction that is open on the connection.
+    pub fn run(&mut self, prepared: &Prepared, params: &[Value]) -> Result<Answer, QueryError> {
+        let answer = self.execute(prepared, params)?;
+        // Any other statement without a result may have changed the schema.
         if prepared.columns.is_empty() && !matches!(prepared.tag, "INSERT" | "UPDATE" | "DELETE") {
-            self.read_schema().map_err(fault)?;
+            self.reload_columns().map_err(query_error)?;
         }
         Ok(answer)
     }
 
-    fn run_inner(&self, prepared: &Prepared, params: &[Value]) -> Result<Answer, Fault> {
+    fn execute(&self, prepared: &Prepared, params: &[Value]) -> Result<Answer, QueryError> {
         let mut statement = self
             .connection
             .prepare_cached(&prepared.sql)
-            .map_err(fault)?;
+            .map_err(query_error)?;
         for i in 1..=statement.parameter_count() {
             let name = statement.parameter_name(i).unwrap_or("$1");
             let number: usize = name[1..].parse().unwrap_or(i);
             let value = params.get(number - 1).cloned().unwrap_or(Value::Null);
-            statement.raw_bind_parameter(i, value).map_err(fault)?;
+            statement
+                .raw_bind_parameter(i, value)
+                .map_err(query_error)?;
         }
         let width = statement.column_count();
         if width == 0 {
-            let changed = statement.raw_execute().map_err(fault)?;
+            let changed = statement.raw_execute().map_err(query_error)?;
             return Ok(Answer {
                 rows: Vec::new(),
-                tag: tag_of(prepared.tag, changed),
+                tag: command_tag(prepared.tag, changed),
             });
         }
         let mut rows = Vec::new();
         let mut cursor = statement.raw_query();
-        while let Some(row) = cursor.next().map_err(fault)? {
+        while let Some(row) = cursor.next().map_err(query_error)? {
             let cells = (0..width).map(|i| row.get(i)).collect::<Result<_, _>>();
-            rows.push(cells.map_err(fault)?);
+            rows.push(cells.map_err(query_error)?);
         }
-        let tag = tag_of(prepared.tag, rows.len());
+        let tag = command_tag(prepared.tag, rows.len());
         Ok(Answer { rows, tag })
     }
 
-    /// Runs a transaction keyword of SQLite's own.
-    pub fn control(&self, sql: &str) -> Result<(), Fault> {
-        self.connection.execute_batch(sql).map_err(fault)
+    /// Runs `BEGIN`, `COMMIT` or `ROLLBACK`.
+    pub fn run_command(&self, sql: &str) -> Result<(), QueryError> {
+        self.connection.execute_batch(sql).map_err(query_error)
     }
 
-    fn read_schema(&mut self) -> rusqlite::Result<()> {
+    fn reload_columns(&mut self) -> rusqlite::Result<()> {
         let query = "SELECT lower(c.name), c.type FROM sqlite_master m, pragma_table_info(m.name) c \
                      WHERE m.type = 'table'";
         let mut statement = self.connection.prepare(query)?;
@@ -202,8 +218,8 @@
         })?;
         let mut columns = HashMap::new();
         for pair in pairs {
-            let (name, kind) = pair?;
-            columns.insert(name, oid_of_name(&kind));
+            let (name, type_name) = pair?;
+            columns.insert(name, oid_of_name(&type_name));
         }
         drop(statement);
         self.columns = columns;
@@ -219,13 +235,13 @@
         self.columns.get(&name.to_lowercase()).copied()
     }
 
-    fn param_types(&self, statement: &Statement, declared: &[u32]) -> Vec<u32> {
+    fn infer_param_types(&self, statement: &Statement, declared: &[u32]) -> Vec<u32> {
         let mut types: Vec<Option<u32>> = declared
             .iter()
             .map(|&oid| (oid != 0).then_some(oid))
             .collect();
-        let mut note = |expression: &Expr, oid: Option<u32>| {
-            let Some(number) = placeholder(expression) else {
+        let mut record = |expression: &Expr, oid: Option<u32>| {
+            let Some(number) = placeholder_number(expression) else {
                 return;
             };
             if types.len() < number {
@@ -234,14 +250,14 @@
             types[number - 1] = types[number - 1].or(oid);
         };
         if let Statement::Insert(insert) = statement {
-            self.insert_types(insert, &mut note);
+            self.infer_insert_types(insert, &mut record);
         }
         if let Statement::Update { assignments, .. } = statement {
             for assignment in assignments {
                 if let AssignmentTarget::ColumnName(name) = &assignment.target {
-                    note(
+                    record(
                         &assignment.value,
-                        self.columns.get(&last_name(name)).copied(),
+                        self.columns.get(&unqualified_name(name)).copied(),
                     );
                 }
             }
@@ -250,12 +266,12 @@
             match expression {
                 Expr::Cast {
                     expr, data_type, ..
-                } => note(expr, Some(oid_of_type(data_type))),
+                } => record(expr, Some(oid_of_type(data_type))),
                 Expr::BinaryOp { left, right, .. } => {
-                    note(right, self.column_oid(left));
-                    note(left, self.column_oid(right));
+                    record(right, self.column_oid(left));
+                    record(left, self.column_oid(right));
                 }
-                other => note(other, None),
+                other => record(other, None),
             }
             ControlFlow::Continue(())
         });
@@ -265,7 +281,7 @@
             .collect()
     }
 
-    fn insert_types(&self, insert: &Insert, note: &mut impl FnMut(&Expr, Option<u32>)) {
+    fn infer_insert_types(&self, insert: &Insert, record: &mut impl FnMut(&Expr, Option<u32>)) {
         let names: Vec<String> = if insert.columns.is_empty() {
             self.table_columns(&insert.table)
         } else {
@@ -278,7 +294,7 @@
         };
         for row in &values.rows {
             for (expression, name) in row.iter().zip(&names) {
-                note(expression, self.columns.get(name).copied());
+                record(expression, self.columns.get(name).copied());
             }
         }
     }
@@ -288,31 +304,31 @@
             return Vec::new();
         };
         let query = "SELECT lower(name) FROM pragma_table_info(?1) ORDER BY cid";
-        let names = || -> rusqlite::Result<Vec<String>> {
+        let read_names = || -> rusqlite::Result<Vec<String>> {
             let mut statement = self.connection.prepare_cached(query)?;
-            let rows = statement.query_map([last_name(name)], |row| row.get(0))?;
+            let rows = statement.query_map([unqualified_name(name)], |row| row.get(0))?;
             rows.collect()
         };
-        names().unwrap_or_default()
+        read_names().unwrap_or_default()
     }
 
-    fn column_types(&self, statement: &Statement) -> Vec<Option<u32>> {
+    fn infer_column_types(&self, statement: &Statement) -> Vec<Option<u32>> {
         let Statement::Query(query) = statement else {
             return Vec::new();
         };
         let SetExpr::Select(select) = query.body.as_ref() else {
             return Vec::new();
         };
-        let guess = |item: &SelectItem| match item {
+        let infer = |item: &SelectItem| match item {
             SelectItem::UnnamedExpr(expr) | SelectItem::ExprWithAlias { expr, .. } => {
-                self.type_of(expr)
+                self.infer_type(expr)
             }
             _ => None,
         };
-        select.projection.iter().map(guess).collect()
+        select.projection.iter().map(infer).collect()
     }
 
-    fn type_of(&self, expression: &Expr) -> Option<u32> {
+    fn infer_type(&self, expression: &Expr) -> Option<u32> {
         match expression {
             Expr::Cast { data_type, .. } => Some(oid_of_type(data_type)),
             Expr::Value(value) => match &value.value {
@@ -321,17 +337,17 @@
                 Literal::Boolean(_) => Some(oid::BOOL),
                 _ => Some(oid::TEXT),
             },
-            Expr::Function(Function { name, .. }) => match last_name(name).as_str() {
+            Expr::Function(Function { name, .. }) => match unqualified_name(name).as_str() {
                 "count" | "sum" | "max" | "min" | "coalesce" | "length" => Some(oid::INT8),
                 "avg" | "total" => Some(oid::FLOAT8),
                 _ => None,
             },
-            Expr::Nested(inner) => self.type_of(inner),
+            Expr::Nested(inner) => self.infer_type(inner),
             Expr::BinaryOp { left, op, .. } => {
                 use sqlparser::ast::BinaryOperator as Op;
                 match op {
                     Op::Plus | Op::Minus | Op::Multiply | Op::Divide | Op::Modulo => {
-                        self.type_of(left).map(|_| oid::INT8)
+                        self.infer_type(left).map(|_| oid::INT8)
                     }
                     _ => None,
                 }
@@ -341,9 +357,9 @@
     }
 }
 
-fn plain(verb: Verb, tag: &'static str) -> Prepared {
+fn without_result(kind: Kind, tag: &'static str) -> Prepared {
     Prepared {
-        verb,
+        kind,
         sql: String::new(),
         params: Vec::new(),
         columns: Vec::new(),
@@ -351,16 +367,16 @@
     }
 }
 
-fn verb_of(statement: &Statement) -> (Verb, &'static str) {
+fn classify(statement: &Statement) -> (Kind, &'static str) {
     match statement {
-        Statement::Query(_) | Statement::Explain { .. } => (Verb::Read, "SELECT"),
-        Statement::Insert(_) => (Verb::Write, "INSERT"),
-        Statement::Update { .. } => (Verb::Write, "UPDATE"),
-        Statement::Delete(_) => (Verb::Write, "DELETE"),
-        Statement::CreateTable(_) => (Verb::Write, "CREATE TABLE"),
-        Statement::CreateIndex(_) => (Verb::Write, "CREATE INDEX"),
-        Statement::Drop { .. } => (Verb::Write, "DROP TABLE"),
-        _ => (Verb::Write, "OK"),
+        Statement::Query(_) | Statement::Explain { .. } => (Kind::Read, "SELECT"),
+        Statement::Insert(_) => (Kind::Write, "INSERT"),
+        Statement::Update { .. } => (Kind::Write, "UPDATE"),
+        Statement::Delete(_) => (Kind::Write, "DELETE"),
+        Statement::CreateTable(_) => (Kind::Write, "CREATE TABLE"),
+        Statement::CreateIndex(_) => (Kind::Write, "CREATE INDEX"),
+        Statement::Drop { .. } => (Kind::Write, "DROP TABLE"),
+        _ => (Kind::Write, "OK"),
     }
 }
 
@@ -382,7 +398,7 @@
     });
 }
 
-fn placeholder(expression: &Expr) -> Option<usize> {
+fn placeholder_number(expression: &Expr) -> Option<usize> {
     let Expr::Value(value) = expression else {
         return None;
     };
@@ -392,13 +408,13 @@
     name.strip_prefix('$')?.parse().ok().filter(|&n| n > 0)
 }
 
-fn last_name(name: &ObjectName) -> String {
+fn unqualified_name(name: &ObjectName) -> String {
     let text = name.to_string().to_lowercase();
     text.rsplit('.').next().unwrap_or_default().to_owned()
 }
 
-fn oid_of_type(kind: &DataType) -> u32 {
-    oid_of_name(&kind.to_string())
+fn oid_of_type(data_type: &DataType) -> u32 {
+    oid_of_name(&data_type.to_string())
 }
 
 fn oid_of_name(name: &str) -> u32 {
@@ -415,7 +431,7 @@
     }
 }
 
-fn tag_of(tag: &'static str, count: usize) -> String {
+fn command_tag(tag: &'static str, count: usize) -> String {
     match tag {
         "INSERT" => format!("INSERT 0 {count}"),
         "SELECT" | "UPDATE" | "DELETE" => format!("{tag} {count}"),
@@ -423,7 +439,7 @@
     }
 }
 
-fn fault(error: rusqlite::Error) -> Fault {
+fn query_error(error: rusqlite::Error) -> QueryError {
     let message = error.to_string();
     let code = match &error {
         rusqlite::Error::SqliteFailure(cause, _)
@@ -437,5 +453,5 @@
         _ if message.contains("syntax error") => "42601",
         _ => "XX000",
     };
-    Fault::new(code, message)
+    QueryError::new(code, message)
 }
--- a/src/standin/member.rs
+++ b/src/standin/member.rs
@@ -1,9 +1,9 @@
-//! A stand-in member: its log, its terms and its replication.
+//! State of a stand-in member: its log, its terms and its replication.
 //!
-//! The log holds whole transactions as statements with their parameters. A
-//! replica takes entries from the primary's log (`ship`), and applies them to
-//! its own engine after a settable lag. The log and the promised term stand for
-//! what a real member has on its disk: they live as long as the process.
+//! A log entry is a transaction, stored as statements with their parameters. A replica fetches
+//! entries from the primary's log ([`Member::ship`]) and applies them to its engine after a
+//! configurable lag. The log and the promised term, which a real member keeps on disk, are lost
+//! when the process ends.
 
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -13,14 +13,14 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use super::engine::{Engine, Fault, Prepared, Verb};
+use super::engine::{Engine, Kind, Prepared, QueryError};
 use super::faults::Gate;
 use crate::borders::member::{MemberError, Role, Status, Stream};
 use crate::decisions::position::Position;
 use crate::declarations::resource::Address;
 
-/// A silent stream is one without a word for this long.
-pub const STREAM_SILENT: Duration = Duration::from_millis(400);
+/// Time without a batch after which a stream is reported as silent.
+pub const STREAM_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Settings of one stand-in member.
 #[derive(Clone, Debug)]
@@ -28,28 +28,28 @@
     pub ip: IpAddr,
     pub sql_port: u16,
     pub control_port: u16,
-    /// Statements that run at once.
+    /// Limit of statements that run at the same time.
     pub slots: usize,
-    /// Connections taken at once.
+    /// Limit of open connections.
     pub connections: usize,
-    /// Time a new connection takes, in milliseconds.
+    /// Delay of each new connection, in milliseconds.
     pub connect_ms: u64,
-    /// Time a statement takes besides the engine's own, in milliseconds.
+    /// Delay of each statement, in milliseconds.
     pub service_ms: u64,
     /// Time between receiving an entry and applying it, in milliseconds.
     pub lag_ms: u64,
-    /// Starts as primary of term 1.
+    /// Whether the member starts as the primary of term 1.
     pub primary: bool,
 }
 
-/// One statement of a transaction as replicated.
+/// A replicated statement.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Change {
     pub sql: String,
     pub params: Vec<Cell>,
 }
 
-/// A parameter as replicated.
+/// A replicated parameter.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Cell {
     Null,
@@ -59,46 +59,50 @@
     Blob(Vec<u8>),
 }
 
-/// One transaction in the log. A primary opens its term with an empty one.
+/// A transaction in the log. A primary starts its term with an empty entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Entry {
     pub term: u64,
     pub changes: Vec<Change>,
 }
 
-/// What a primary ships to a replica.
+/// Entries that a primary sends to a replica.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Batch {
     pub term: u64,
-    /// Start of each term in the primary's log: (term, first index).
+    /// Each term in the primary's log with the index of its first entry.
     pub runs: Vec<(u64, u64)>,
+    /// Index of the first entry in `entries`.
     pub first: u64,
     pub entries: Vec<Entry>,
 }
 
 struct Received {
     entry: Entry,
-    at: Instant,
+    received_at: Instant,
 }
 
-/// The state a member keeps, guarded by one lock.
+/// The mutable state of a member.
 pub struct State {
+    /// Highest term of a fence or follow request that the member has accepted.
     pub promised: u64,
     pub role: Role,
-    /// Term this member leads or has adopted the history of.
+    /// Term in which the member is the primary, or whose primary it last received entries from.
     pub term: u64,
     pub primary: Option<Address>,
     log: Vec<Received>,
+    /// Number of entries that are applied to the engine.
     pub applied: u64,
     pub engine: Engine,
     pub stream: Stream,
-    pub heard: Instant,
-    pub open: usize,
+    pub last_received: Instant,
+    pub open_connections: usize,
+    /// Time between receiving an entry and applying it.
     pub lag: Duration,
 }
 
 impl State {
-    pub fn last(&self) -> Position {
+    pub fn last_position(&self) -> Position {
         let term = self.log.last().map_or(0, |received| received.entry.term);
         Position::new(term, self.log.len() as u64)
     }
@@ -109,8 +113,8 @@
         Position::new(term, self.applied)
     }
 
-    /// Whether this member may take writes now.
-    pub fn leads(&self) -> bool {
+    /// Whether the member is a primary that isn't fenced.
+    pub fn accepts_writes(&self) -> bool {
         self.role == Role::Primary && self.promised == self.term
     }
 
@@ -118,16 +122,16 @@
         Status {
             promised: self.promised,
             role: self.role,
-            log: self.last(),
+            log: self.last_position(),
             applied: self.applied_position(),
-            stream: self.stream_now(),
+            stream: self.current_stream(),
         }
     }
 
-    fn stream_now(&self) -> Stream {
+    fn current_stream(&self) -> Stream {
         match self.stream {
             _ if self.role == Role::Primary => Stream::None,
-            Stream::Live if self.heard.elapsed() > STREAM_SILENT => Stream::Silent,
+            Stream::Live if self.last_received.elapsed() > STREAM_TIMEOUT => Stream::Silent,
             other => other,
         }
     }
@@ -137,12 +141,12 @@
             term: self.term,
             changes,
         };
-        let at = Instant::now();
-        self.log.push(Received { entry, at });
+        let received_at = Instant::now();
+        self.log.push(Received { entry, received_at });
         self.applied = self.log.len() as u64;
     }
 
-    fn runs(&self) -> Vec<(u64, u64)> {
+    fn term_runs(&self) -> Vec<(u64, u64)> {
         let mut runs: Vec<(u64, u64)> = Vec::new();
         for (i, received) in self.log.iter().enumerate() {
             if runs.last().is_none_or(|run| run.0 != received.entry.term) {
@@ -152,18 +156,19 @@
         runs
     }
 
-    /// Length of the prefix shared with a log of these runs and `length` entries.
-    fn shared(&self, runs: &[(u64, u64)], length: u64) -> u64 {
-        let term_at = |index: u64| {
+    /// Returns the length of the prefix shared with a log of `length` entries and these runs.
+    fn shared_prefix_length(&self, runs: &[(u64, u64)], length: u64) -> u64 {
+        let term_of_index = |index: u64| {
             let run = runs.iter().rev().find(|run| run.1 <= index);
             run.map_or(0, |run| run.0)
         };
-        let most = length.min(self.log.len() as u64);
-        let same = |index: &u64| self.log[*index as usize - 1].entry.term == term_at(*index);
-        (1..=most).rev().find(same).unwrap_or(0)
+        let max_shared = length.min(self.log.len() as u64);
+        let has_same_term =
+            |index: &u64| self.log[*index as usize - 1].entry.term == term_of_index(*index);
+        (1..=max_shared).rev().find(has_same_term).unwrap_or(0)
     }
 
-    fn truncate(&mut self, length: u64) -> Result<(), Fault> {
+    fn truncate(&mut self, length: u64) -> Result<(), QueryError> {
         if length >= self.log.len() as u64 {
             return Ok(());
         }
@@ -171,7 +176,7 @@
         if self.applied <= length {
             return Ok(());
         }
-        let engine = Engine::open().map_err(|error| Fault::new("XX000", error.to_string()))?;
+        let engine = Engine::open().map_err(|error| QueryError::new("XX000", error.to_string()))?;
         self.engine = engine;
         self.applied = 0;
         while self.applied < length {
@@ -180,7 +185,7 @@
         Ok(())
     }
 
-    fn apply_next(&mut self) -> Result<(), Fault> {
+    fn apply_next(&mut self) -> Result<(), QueryError> {
         let changes = self.log[self.applied as usize].entry.changes.clone();
         for change in &changes {
             let prepared = self.engine.prepare(&change.sql, &[])?;
@@ -214,16 +219,17 @@
     }
 }
 
-/// One member, shared by its sessions, its control and its replication.
+/// A member, shared by its sessions, its control port and its replication.
 pub struct Member {
     pub settings: Settings,
     pub gate: Gate,
     state: Mutex<State>,
-    /// Held by a transaction from its first statement to its end.
-    pub lock: Arc<tokio::sync::Mutex<()>>,
+    /// Held by a transaction from its first statement to its end, and while the log is truncated,
+    /// entries are applied or the member is promoted.
+    pub transaction_lock: Arc<tokio::sync::Mutex<()>>,
     pub slots: tokio::sync::Semaphore,
-    grown: Notify,
-    pub refollow: Notify,
+    log_grown: Notify,
+    pub primary_changed: Notify,
 }
 
 impl Member {
@@ -237,8 +243,8 @@
             applied: 0,
             engine: Engine::open()?,
             stream: Stream::Broken,
-            heard: Instant::now(),
-            open: 0,
+            last_received: Instant::now(),
+            open_connections: 0,
             lag: Duration::from_millis(settings.lag_ms),
         };
         if settings.primary {
@@ -252,9 +258,9 @@
             gate: Gate::new(settings.ip),
             settings,
             state: Mutex::new(state),
-            lock: Arc::default(),
-            grown: Notify::new(),
-            refollow: Notify::new(),
+            transaction_lock: Arc::default(),
+            log_grown: Notify::new(),
+            primary_changed: Notify::new(),
         }))
     }
 
@@ -267,28 +273,28 @@
         &self,
         prepared: &Prepared,
         params: &[Value],
-    ) -> Result<super::engine::Answer, Fault> {
+    ) -> Result<super::engine::Answer, QueryError> {
         let mut state = self.state();
-        if prepared.verb == Verb::Write && !state.leads() {
+        if prepared.kind == Kind::Write && !state.accepts_writes() {
             return Err(not_primary());
         }
         state.engine.run(prepared, params)
     }
 
-    /// Ends the open SQLite transaction and appends what it changed.
-    pub fn commit(&self, changes: Vec<Change>) -> Result<(), Fault> {
+    /// Commits the open SQLite transaction and appends its changes to the log.
+    pub fn commit(&self, changes: Vec<Change>) -> Result<(), QueryError> {
         let mut state = self.state();
         if changes.is_empty() {
-            return state.engine.control("COMMIT");
+            return state.engine.run_command("COMMIT");
         }
-        if !state.leads() {
-            state.engine.control("ROLLBACK")?;
+        if !state.accepts_writes() {
+            state.engine.run_command("ROLLBACK")?;
             return Err(not_primary());
         }
-        state.engine.control("COMMIT")?;
+        state.engine.run_command("COMMIT")?;
         state.append(changes);
         drop(state);
-        self.grown.notify_waiters();
+        self.log_grown.notify_waiters();
         Ok(())
     }
 
@@ -303,7 +309,7 @@
     }
 
     pub async fn promote(&self, term: u64) -> Result<Status, MemberError> {
-        let _whole = self.lock.lock().await;
+        let _guard = self.transaction_lock.lock().await;
         let mut state = self.state();
         if state.promised != term {
             let promised = state.promised;
@@ -313,7 +319,7 @@
             return Ok(state.status());
         }
         while state.applied < state.log.len() as u64 {
-            state.apply_next().map_err(nonsense)?;
+            state.apply_next().map_err(apply_error)?;
         }
         state.role = Role::Primary;
         state.term = term;
@@ -321,7 +327,7 @@
         state.append(Vec::new());
         let status = state.status();
         drop(state);
-        self.grown.notify_waiters();
+        self.log_grown.notify_waiters();
         Ok(status)
     }
 
@@ -332,50 +338,55 @@
             return Err(MemberError::Fenced { promised });
         }
         state.promised = term;
-        let news = state.primary.as_ref() != Some(&primary) || state.role == Role::Primary;
+        let is_new = state.primary.as_ref() != Some(&primary) || state.role == Role::Primary;
         state.role = Role::Replica;
         state.primary = Some(primary);
-        if news {
+        if is_new {
             state.stream = Stream::Broken;
-            self.refollow.notify_waiters();
+            self.primary_changed.notify_waiters();
         }
         Ok(state.status())
     }
 
-    /// What a replica that holds `from` entries and follows `term` gets next.
+    /// Returns the next entries for a replica that has `from` entries and follows `term`. Waits up
+    /// to `wait` if there are none.
     pub async fn ship(&self, term: u64, from: u64, wait: Duration) -> Result<Batch, MemberError> {
-        let grown = self.grown.notified();
-        tokio::pin!(grown);
-        grown.as_mut().enable();
+        let log_grown = self.log_grown.notified();
+        tokio::pin!(log_grown);
+        log_grown.as_mut().enable();
         {
             let state = self.state();
-            if !state.leads() || state.term != term {
+            if !state.accepts_writes() || state.term != term {
                 let promised = state.promised;
                 return Err(MemberError::Fenced { promised });
             }
             if state.log.len() as u64 > from {
-                return Ok(batch(&state, from));
+                return Ok(next_batch(&state, from));
             }
         }
-        let _ = tokio::time::timeout(wait, grown).await;
+        let _ = tokio::time::timeout(wait, log_grown).await;
         let state = self.state();
-        if !state.leads() || state.term != term {
+        if !state.accepts_writes() || state.term != term {
             let promised = state.promised;
             return Err(MemberError::Fenced { promised });
         }
-        Ok(batch(&state, from))
+        Ok(next_batch(&state, from))
     }
 
-    /// Takes what a primary shipped. True when something was received.
-    pub async fn receive(&self, batch: Batch) -> Result<bool, Fault> {
+    /// Stores entries from a primary, and truncates a log that diverges from the primary's. Returns
+    /// whether entries were added, or have to be requested from an earlier index.
+    pub async fn receive(&self, batch: Batch) -> Result<bool, QueryError> {
         let length = batch.first - 1 + batch.entries.len() as u64;
-        let (shared, held) = {
+        let (shared_length, log_length) = {
             let state = self.state();
-            (state.shared(&batch.runs, length), state.last().index)
+            (
+                state.shared_prefix_length(&batch.runs, length),
+                state.last_position().index,
+            )
         };
-        let cuts = shared < held;
-        let _whole = match cuts {
-            true => Some(self.lock.lock().await),
+        let truncates = shared_length < log_length;
+        let _guard = match truncates {
+            true => Some(self.transaction_lock.lock().await),
             false => None,
         };
         let mut state = self.state();
@@ -383,29 +394,31 @@
             return Ok(false);
         }
         state.stream = Stream::Live;
-        state.heard = Instant::now();
-        if shared < batch.first - 1 {
-            // The entries shipped do not join ours: ask again from the shared prefix.
-            state.truncate(shared)?;
+        state.last_received = Instant::now();
+        if shared_length < batch.first - 1 {
+            // There is a gap before the first entry. The next request starts at the shared prefix.
+            state.truncate(shared_length)?;
             return Ok(true);
         }
-        state.truncate(shared)?;
+        state.truncate(shared_length)?;
         state.term = batch.term;
-        let skip = (shared + 1 - batch.first) as usize;
-        let at = Instant::now();
-        let fresh = batch.entries.into_iter().skip(skip);
+        let skip = (shared_length + 1 - batch.first) as usize;
+        let received_at = Instant::now();
+        let new_entries = batch.entries.into_iter().skip(skip);
         let before = state.log.len();
-        state.log.extend(fresh.map(|entry| Received { entry, at }));
+        state
+            .log
+            .extend(new_entries.map(|entry| Received { entry, received_at }));
         Ok(state.log.len() > before)
     }
 
-    /// Applies what is due; tells when the next entry is.
+    /// Applies the entries whose lag is over. Returns the time until the next entry is due.
     pub async fn apply_due(&self) -> Option<Duration> {
-        let _whole = self.lock.lock().await;
+        let _guard = self.transaction_lock.lock().await;
         let mut state = self.state();
         loop {
             let next = state.log.get(state.applied as usize)?;
-            let age = next.at.elapsed();
+            let age = next.received_at.elapsed();
             if age < state.lag {
                 return Some(state.lag - age);
             }
@@ -416,23 +429,23 @@
     }
 }
 
-fn batch(state: &State, from: u64) -> Batch {
-    const MOST: usize = 512;
+fn next_batch(state: &State, from: u64) -> Batch {
+    const MAX_ENTRIES: usize = 512;
     let start = (from as usize).min(state.log.len());
-    let end = (start + MOST).min(state.log.len());
+    let end = (start + MAX_ENTRIES).min(state.log.len());
     let entries = state.log[start..end].iter();
     Batch {
         term: state.term,
-        runs: state.runs(),
+        runs: state.term_runs(),
         first: start as u64 + 1,
         entries: entries.map(|received| received.entry.clone()).collect(),
     }
 }
 
-fn not_primary() -> Fault {
-    Fault::new("25006", "this member is not the primary of its term")
+fn not_primary() -> QueryError {
+    QueryError::new("25006", "this member is not the primary of its term")
 }
 
-fn nonsense(fault: Fault) -> MemberError {
-    MemberError::InvalidAnswer(fault.message)
+fn apply_error(error: QueryError) -> MemberError {
+    MemberError::InvalidAnswer(error.message)
 }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -15,7 +15,7 @@
 use serde_json::Value;
 use tokio::net::TcpListener;
 
-use super::control::{faults_router, through_gate};
+use super::control::{apply_faults, faults_router};
 use super::faults::Gate;
 use super::table::tag_of;
 use crate::borders::roster::Listing;
@@ -169,7 +169,7 @@
         .route("/commit", post(commit))
         .route("/boxes", get(boxes))
         .layer(map_response_with_state(platform.clone(), name_era))
-        .layer(from_fn_with_state(gate.clone(), through_gate));
+        .layer(from_fn_with_state(gate.clone(), apply_faults));
     let open = Router::new()
         .route("/boxes", post(set_boxes))
         .route("/restore", post(restore))
--- a/src/standin/ports.rs
+++ b/src/standin/ports.rs
@@ -21,7 +21,7 @@
     };
     let members = Remotes {
         client: client.clone(),
-        from,
+        source: from,
     };
     Ports::new(
         client,
--- a/src/standin/session.rs
+++ b/src/standin/session.rs
@@ -1,4 +1,4 @@
-//! One connection to a stand-in member: the PostgreSQL protocol, served.
+//! Serves the PostgreSQL protocol on one connection to a stand-in member.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -18,59 +18,60 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::OwnedMutexGuard;
 
-use super::engine::{Answer, Column, Engine, Fault, Prepared, Verb};
+use super::engine::{Answer, Column, Engine, Kind, Prepared, QueryError};
 use super::member::{Cell, Change, Member};
 use super::value;
 use crate::decisions::position::Position;
 use crate::postgres::channel::{Channel, ChannelError, Opening};
 use crate::postgres::report::{self, Report};
 
-const LOCK_WAIT: Duration = Duration::from_secs(5);
+const LOCK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves callers until the listener fails.
+/// Serves connections until the listener fails.
 pub async fn serve(member: Arc<Member>, listener: TcpListener) -> std::io::Result<()> {
     loop {
         let (socket, peer) = listener.accept().await?;
         socket.set_nodelay(true)?;
         let member = member.clone();
         tokio::task::spawn_local(async move {
-            member.state().open += 1;
+            member.state().open_connections += 1;
             let _ = Session::run(member.clone(), socket, peer.ip()).await;
-            member.state().open -= 1;
+            member.state().open_connections -= 1;
         });
     }
 }
 
+/// A statement bound to its parameters.
 struct Portal {
     prepared: Prepared,
     params: Vec<Value>,
     formats: Vec<i16>,
 }
 
-/// An open transaction; dropping it without an end rolls back.
+/// An open transaction. It is rolled back when dropped without a commit.
 struct Transaction {
     member: Arc<Member>,
-    _whole: OwnedMutexGuard<()>,
+    _guard: OwnedMutexGuard<()>,
     changes: Vec<Change>,
     ended: bool,
 }
 
 impl Transaction {
-    async fn begin(member: &Arc<Member>) -> Result<Self, Fault> {
-        let lock = member.lock.clone().lock_owned();
-        let whole = tokio::time::timeout(LOCK_WAIT, lock)
+    async fn begin(member: &Arc<Member>) -> Result<Self, QueryError> {
+        let lock = member.transaction_lock.clone().lock_owned();
+        let guard = tokio::time::timeout(LOCK_TIMEOUT, lock)
             .await
-            .map_err(|_| Fault::new("55P03", "canceling statement due to lock timeout"))?;
-        member.state().engine.control("BEGIN")?;
+            .map_err(|_| QueryError::new("55P03", "canceling statement due to lock timeout"))?;
+        member.state().engine.run_command("BEGIN")?;
         Ok(Self {
             member: member.clone(),
-            _whole: whole,
+            _guard: guard,
             changes: Vec::new(),
             ended: false,
         })
     }
 
-    fn commit(mut self) -> Result<(), Fault> {
+    fn commit(mut self) -> Result<(), QueryError> {
         self.ended = true;
         let changes = std::mem::take(&mut self.changes);
         self.member.commit(changes)
@@ -80,7 +81,7 @@
 impl Drop for Transaction {
     fn drop(&mut self) {
         if !self.ended {
-            let _ = self.member.state().engine.control("ROLLBACK");
+            let _ = self.member.state().engine.run_command("ROLLBACK");
         }
     }
 }
@@ -92,11 +93,14 @@
     statements: HashMap<String, Prepared>,
     portals: HashMap<String, Portal>,
     transaction: Option<Transaction>,
-    /// Opened by BEGIN, not just for the statements up to the next Sync.
+    /// Whether the client has opened the transaction with `BEGIN`. Otherwise it ends with the
+    /// query, or at Sync.
     explicit: bool,
+    /// Whether a statement of the explicit transaction has failed.
     failed: bool,
-    /// An error was sent; everything up to Sync is skipped.
+    /// Whether messages up to Sync are skipped because of an error.
     skipping: bool,
+    /// The applied position that was last reported to the client.
     reported: Position,
 }
 
@@ -114,19 +118,19 @@
             skipping: false,
             reported: Position::ZERO,
         };
-        if !session.start().await? {
+        if !session.start_up().await? {
             return Ok(());
         }
         session.serve().await
     }
 
-    async fn start(&mut self) -> Result<bool, ChannelError> {
+    async fn start_up(&mut self) -> Result<bool, ChannelError> {
         let opening = self.channel.open().await?;
         self.member.gate.enter(self.peer).await;
         if let Opening::Cancel { .. } = opening {
             return Ok(false);
         }
-        if self.member.state().open > self.member.settings.connections {
+        if self.member.state().open_connections > self.member.settings.connections {
             let error = Report::fatal("53300", "sorry, too many clients already");
             self.channel.queue_back(&error.message())?;
             self.channel.flush().await?;
@@ -143,31 +147,31 @@
         }
         let key = BackendKeyData::new(1, SecretKey::I32(1));
         self.channel.queue_back(&Back::BackendKeyData(key))?;
-        self.ready().await?;
+        self.send_ready().await?;
         Ok(true)
     }
 
     async fn serve(&mut self) -> Result<(), ChannelError> {
         loop {
-            let waits = !self.channel.has_input();
+            let is_batch_start = !self.channel.has_input();
             let message = self.channel.read_front().await?;
-            if waits {
+            if is_batch_start {
                 self.member.gate.enter(self.peer).await;
             }
             match message {
                 Front::Terminate(_) => return Ok(()),
                 Front::Query(query) => {
-                    if let Err(fault) = self.simple(&query.query).await {
-                        self.fail(&fault)?;
+                    if let Err(error) = self.run_query(&query.query).await {
+                        self.queue_error(&error)?;
                     }
-                    self.finish().await?;
+                    self.finish_query().await?;
                 }
-                Front::Sync(_) => self.finish().await?,
-                Front::Flush(_) => self.answer().await?,
+                Front::Sync(_) => self.finish_query().await?,
+                Front::Flush(_) => self.send_answers().await?,
                 _ if self.skipping => {}
                 other => {
-                    if let Err(fault) = self.extended(other).await {
-                        self.fail(&fault)?;
+                    if let Err(error) = self.handle_extended(other).await {
+                        self.queue_error(&error)?;
                         self.skipping = true;
                     }
                 }
@@ -175,34 +179,34 @@
         }
     }
 
-    async fn answer(&mut self) -> Result<(), ChannelError> {
+    async fn send_answers(&mut self) -> Result<(), ChannelError> {
         self.member.gate.leave(self.peer).await;
         self.channel.flush().await
     }
 
-    fn fail(&mut self, fault: &Fault) -> Result<(), ChannelError> {
+    fn queue_error(&mut self, error: &QueryError) -> Result<(), ChannelError> {
         if self.explicit {
             self.failed = true;
         } else {
             self.transaction = None;
         }
-        let error = Report::error(fault.code, fault.message.clone());
-        self.channel.queue_back(&error.message())
+        let reply = Report::error(error.code, error.message.clone());
+        self.channel.queue_back(&reply.message())
     }
 
-    /// Ends what was opened only for this query or this run up to Sync.
-    async fn finish(&mut self) -> Result<(), ChannelError> {
+    /// Ends a query, or the messages up to Sync, and commits an implicit transaction.
+    async fn finish_query(&mut self) -> Result<(), ChannelError> {
         self.skipping = false;
         if !self.explicit {
-            if let Err(fault) = self.end(true) {
-                self.fail(&fault)?;
+            if let Err(error) = self.end_transaction(true) {
+                self.queue_error(&error)?;
             }
             self.portals.clear();
         }
-        self.ready().await
+        self.send_ready().await
     }
 
-    async fn ready(&mut self) -> Result<(), ChannelError> {
+    async fn send_ready(&mut self) -> Result<(), ChannelError> {
         let position = self.member.state().applied_position();
         if position != self.reported {
             self.reported = position;
@@ -215,10 +219,10 @@
             (true, true) => TransactionStatus::Error,
         };
         self.channel.queue_back(&report::ready(status))?;
-        self.answer().await
+        self.send_answers().await
     }
 
-    fn end(&mut self, commit: bool) -> Result<(), Fault> {
+    fn end_transaction(&mut self, commit: bool) -> Result<(), QueryError> {
         let failed = std::mem::take(&mut self.failed);
         self.explicit = false;
         match self.transaction.take() {
@@ -227,14 +231,18 @@
         }
     }
 
-    async fn simple(&mut self, sql: &str) -> Result<(), Fault> {
-        let mut statements = Engine::split(sql)?;
+    async fn run_query(&mut self, sql: &str) -> Result<(), QueryError> {
+        let mut statements = Engine::parse(sql)?;
         if statements.is_empty() {
             let empty = Back::EmptyQueryResponse(EmptyQueryResponse::new());
             return self.queue(&empty);
         }
         for statement in &mut statements {
-            let prepared = self.member.state().engine.prepare_one(statement, &[])?;
+            let prepared = self
+                .member
+                .state()
+                .engine
+                .prepare_statement(statement, &[])?;
             if !prepared.columns.is_empty() {
                 let description = describe(&prepared.columns, &[]);
                 self.queue(&Back::RowDescription(description))?;
@@ -244,7 +252,7 @@
         Ok(())
     }
 
-    async fn extended(&mut self, message: Front) -> Result<(), Fault> {
+    async fn handle_extended(&mut self, message: Front) -> Result<(), QueryError> {
         match message {
             Front::Parse(parse) => {
                 let prepared = self
@@ -263,13 +271,13 @@
             Front::Execute(execute) => {
                 let name = execute.name.unwrap_or_default();
                 let portal = self.portals.remove(&name).ok_or_else(|| {
-                    Fault::new("34000", format!("portal {name:?} does not exist"))
+                    QueryError::new("34000", format!("portal {name:?} does not exist"))
                 })?;
-                let done = self
+                let result = self
                     .execute(&portal.prepared, &portal.params, &portal.formats)
                     .await;
                 self.portals.insert(name, portal);
-                done
+                result
             }
             Front::Close(close) => {
                 let name = close.name.unwrap_or_default();
@@ -280,22 +288,22 @@
                 }
                 self.queue(&Back::CloseComplete(CloseComplete::new()))
             }
-            _ => Err(Fault::new("0A000", "message is not supported")),
+            _ => Err(QueryError::new("0A000", "message is not supported")),
         }
     }
 
-    fn statement(&self, name: &str) -> Result<&Prepared, Fault> {
+    fn find_statement(&self, name: &str) -> Result<&Prepared, QueryError> {
         self.statements.get(name).ok_or_else(|| {
-            Fault::new(
+            QueryError::new(
                 "26000",
                 format!("prepared statement {name:?} does not exist"),
             )
         })
     }
 
-    fn bind(&mut self, bind: Bind) -> Result<(), Fault> {
+    fn bind(&mut self, bind: Bind) -> Result<(), QueryError> {
         let prepared = self
-            .statement(&bind.statement_name.unwrap_or_default())?
+            .find_statement(&bind.statement_name.unwrap_or_default())?
             .clone();
         if bind.parameters.len() != prepared.params.len() {
             let message = format!(
@@ -303,7 +311,7 @@
                 bind.parameters.len(),
                 prepared.params.len()
             );
-            return Err(Fault::new("08P01", message));
+            return Err(QueryError::new("08P01", message));
         }
         let formats = &bind.parameter_format_codes;
         let decode = |(i, bytes): (usize, &Option<Bytes>)| match bytes {
@@ -322,17 +330,16 @@
         self.queue(&Back::BindComplete(BindComplete::new()))
     }
 
-    fn describe(&mut self, target: u8, name: String) -> Result<(), Fault> {
+    fn describe(&mut self, target: u8, name: String) -> Result<(), QueryError> {
         let (columns, formats) = if target == b'S' {
-            let prepared = self.statement(&name)?.clone();
+            let prepared = self.find_statement(&name)?.clone();
             let types = ParameterDescription::new(prepared.params);
             self.queue(&Back::ParameterDescription(types))?;
             (prepared.columns, Vec::new())
         } else {
-            let portal = self
-                .portals
-                .get(&name)
-                .ok_or_else(|| Fault::new("34000", format!("portal {name:?} does not exist")))?;
+            let portal = self.portals.get(&name).ok_or_else(|| {
+                QueryError::new("34000", format!("portal {name:?} does not exist"))
+            })?;
             (portal.prepared.columns.clone(), portal.formats.clone())
         };
         if columns.is_empty() {
@@ -346,35 +353,35 @@
         prepared: &Prepared,
         params: &[Value],
         formats: &[i16],
-    ) -> Result<(), Fault> {
-        if self.failed && !matches!(prepared.verb, Verb::Commit | Verb::Rollback) {
-            return Err(Fault::new(
+    ) -> Result<(), QueryError> {
+        if self.failed && !matches!(prepared.kind, Kind::Commit | Kind::Rollback) {
+            return Err(QueryError::new(
                 "25P02",
                 "current transaction is aborted, commands ignored until end of transaction block",
             ));
         }
-        let tag = match prepared.verb {
-            Verb::Empty => return self.queue(&Back::EmptyQueryResponse(EmptyQueryResponse::new())),
-            Verb::Set => "SET".to_owned(),
-            Verb::Begin => {
+        let tag = match prepared.kind {
+            Kind::Empty => return self.queue(&Back::EmptyQueryResponse(EmptyQueryResponse::new())),
+            Kind::Set => "SET".to_owned(),
+            Kind::Begin => {
                 self.explicit = true;
                 "BEGIN".to_owned()
             }
-            Verb::Commit if self.failed => {
-                self.end(false)?;
+            Kind::Commit if self.failed => {
+                self.end_transaction(false)?;
                 "ROLLBACK".to_owned()
             }
-            Verb::Commit => {
-                self.end(true)?;
+            Kind::Commit => {
+                self.end_transaction(true)?;
                 "COMMIT".to_owned()
             }
-            Verb::Rollback => {
-                self.end(false)?;
+            Kind::Rollback => {
+                self.end_transaction(false)?;
                 "ROLLBACK".to_owned()
             }
-            Verb::Read | Verb::Write => {
+            Kind::Read | Kind::Write => {
                 let answer = self.run_in_slot(prepared, params).await?;
-                self.rows(&answer, &prepared.columns, formats)?;
+                self.queue_rows(&answer, &prepared.columns, formats)?;
                 answer.tag
             }
         };
@@ -385,9 +392,10 @@
         &mut self,
         prepared: &Prepared,
         params: &[Value],
-    ) -> Result<Answer, Fault> {
+    ) -> Result<Answer, QueryError> {
         let member = self.member.clone();
-        // The slot is given back before the lock: its holder may need a slot itself.
+        // The slot is released before waiting for the transaction lock, as the holder of the
+        // lock may need a slot.
         let slot = member.slots.acquire().await.expect("never closed");
         if member.settings.service_ms > 0 {
             tokio::time::sleep(Duration::from_millis(member.settings.service_ms)).await;
@@ -397,7 +405,7 @@
             self.transaction = Some(Transaction::begin(&member).await?);
         }
         let answer = member.run(prepared, params)?;
-        if prepared.verb == Verb::Write
+        if prepared.kind == Kind::Write
             && let Some(transaction) = &mut self.transaction
         {
             transaction.changes.push(Change {
@@ -408,12 +416,17 @@
         Ok(answer)
     }
 
-    fn rows(&mut self, answer: &Answer, columns: &[Column], formats: &[i16]) -> Result<(), Fault> {
+    fn queue_rows(
+        &mut self,
+        answer: &Answer,
+        columns: &[Column],
+        formats: &[i16],
+    ) -> Result<(), QueryError> {
         for cells in &answer.rows {
             let mut row = BytesMut::new();
             for (i, cell) in cells.iter().enumerate() {
-                let kind = columns.get(i).map_or(super::engine::oid::TEXT, |c| c.oid);
-                value::encode(cell, kind, format_at(formats, i), &mut row);
+                let type_oid = columns.get(i).map_or(super::engine::oid::TEXT, |c| c.oid);
+                value::encode(cell, type_oid, format_at(formats, i), &mut row);
             }
             let row = DataRow::new(row, cells.len() as i16);
             self.queue(&Back::DataRow(row))?;
@@ -421,18 +434,18 @@
         Ok(())
     }
 
-    fn queue(&mut self, message: &Back) -> Result<(), Fault> {
+    fn queue(&mut self, message: &Back) -> Result<(), QueryError> {
         self.channel
             .queue_back(message)
-            .map_err(|error| Fault::new("08P01", error.to_string()))
+            .map_err(|error| QueryError::new("08P01", error.to_string()))
     }
 }
 
 fn format_at(formats: &[i16], i: usize) -> i16 {
     match formats {
         [] => 0,
-        [one] => *one,
-        many => many.get(i).copied().unwrap_or_default(),
+        [format] => *format,
+        formats => formats.get(i).copied().unwrap_or_default(),
     }
 }
 
