--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform: a transactional table and a lagging list of boxes.
+//! Stand-in for the platform: a transactional table and a list of boxes that is read with a lag.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, SocketAddr};
@@ -17,7 +17,7 @@
 
 use super::control::{apply_faults, faults_router};
 use super::faults::Gate;
-use super::table::tag_of;
+use super::platform_client::etag_of;
 use crate::borders::roster::Listing;
 use crate::borders::table::{Commit, Revision, Row, Scan, Verdict};
 
@@ -26,21 +26,21 @@
 pub struct Settings {
     pub ip: IpAddr,
     pub port: u16,
-    /// How far the list of boxes lags, in milliseconds.
+    /// Delay before a change to the list of boxes is visible, in milliseconds.
     pub roster_lag_ms: u64,
 }
 
-/// Header of all answers: counts how often the table came back as an older copy of itself.
-pub const ERA: &str = "table-era";
+/// Header of all answers with the number of times that the table was restored from an older copy.
+pub const ERA_HEADER: &str = "table-era";
 
 #[derive(Default)]
 struct Table {
     era: u64,
     revision: Revision,
     rows: BTreeMap<Arc<str>, (Revision, Option<Value>)>,
-    /// What was committed, from which an older copy is made.
+    /// All commits, from which an older copy is rebuilt.
     commits: Vec<(Revision, Commit)>,
-    /// Verdicts by nonce, so that a lost answer can be asked for again.
+    /// Verdicts by nonce, for commits that are retried because their answer was lost.
     nonces: HashMap<String, Verdict>,
     reads: u64,
     writes: u64,
@@ -75,12 +75,12 @@
             let row = (revision, write.value.clone());
             self.rows.insert(write.key.clone(), row);
         }
-        // A refused commit is not remembered: it may be sent again with the same nonce.
+        // Conflicts aren't stored, as a commit that was refused may be retried with the same nonce.
         self.nonces
             .insert(commit.nonce.clone(), Verdict::Done(revision));
     }
 
-    /// Becomes the copy that was made at a revision.
+    /// Restores the copy that was made at a revision.
     fn restore(&mut self, revision: Revision) {
         self.era += 1;
         self.revision = revision;
@@ -96,13 +96,13 @@
 
     fn scan(&mut self, since: Revision) -> Scan {
         self.reads += 1;
-        let newer = self.rows.iter().filter(|(_, row)| row.0 > since);
+        let newer_rows = self.rows.iter().filter(|(_, row)| row.0 > since);
         let row = |(key, row): (&Arc<str>, &(Revision, Option<Value>))| Row {
             key: key.clone(),
             revision: row.0,
             value: row.1.clone(),
         };
-        let mut rows: Vec<Row> = newer.map(row).collect();
+        let mut rows: Vec<Row> = newer_rows.map(row).collect();
         rows.sort_by_key(|row| row.revision);
         Scan {
             head: self.revision,
@@ -113,16 +113,17 @@
 }
 
 #[derive(Default)]
-struct List {
-    /// Each state of the list with the moment it became real.
-    states: Vec<(Option<Instant>, Vec<Listing>)>,
+struct BoxList {
+    /// Each version of the list with the time of its change; none for the initial version, which
+    /// is visible at once.
+    versions: Vec<(Option<Instant>, Vec<Listing>)>,
 }
 
-/// The stand-in platform's state.
+/// State of the stand-in platform.
 #[derive(Clone)]
 pub struct Platform {
     table: Arc<Mutex<Table>>,
-    list: Arc<Mutex<List>>,
+    box_list: Arc<Mutex<BoxList>>,
     lag: Duration,
     pub gate: Gate,
 }
@@ -131,7 +132,7 @@
     pub fn new(ip: IpAddr, roster_lag_ms: u64) -> Self {
         Self {
             table: Arc::default(),
-            list: Arc::default(),
+            box_list: Arc::default(),
             lag: Duration::from_millis(roster_lag_ms),
             gate: Gate::new(ip),
         }
@@ -141,22 +142,26 @@
         self.table.lock().expect("no panic under the lock")
     }
 
-    fn list(&self) -> MutexGuard<'_, List> {
-        self.list.lock().expect("no panic under the lock")
+    fn box_list(&self) -> MutexGuard<'_, BoxList> {
+        self.box_list.lock().expect("no panic under the lock")
     }
 
-    /// Sets the real list; readers see it after the lag.
+    /// Sets the list of boxes, which is visible to readers after the lag.
     pub fn set_boxes(&self, boxes: Vec<Listing>) {
-        let mut list = self.list();
-        let at = (!list.states.is_empty()).then(Instant::now);
-        list.states.push((at, boxes));
+        let mut box_list = self.box_list();
+        let at = (!box_list.versions.is_empty()).then(Instant::now);
+        box_list.versions.push((at, boxes));
     }
 
     fn boxes(&self) -> Vec<Listing> {
-        let list = self.list();
-        let due = |at: &Option<Instant>| at.is_none_or(|at| at.elapsed() >= self.lag);
-        let seen = list.states.iter().rev().find(|(at, _)| due(at));
-        seen.map(|(_, boxes)| boxes.clone()).unwrap_or_default()
+        let box_list = self.box_list();
+        let is_visible = |at: &Option<Instant>| at.is_none_or(|at| at.elapsed() >= self.lag);
+        let visible = box_list
+            .versions
+            .iter()
+            .rev()
+            .find(|(at, _)| is_visible(at));
+        visible.map(|(_, boxes)| boxes.clone()).unwrap_or_default()
     }
 }
 
@@ -168,25 +173,25 @@
         .route("/scan", get(scan))
         .route("/commit", post(commit))
         .route("/boxes", get(boxes))
-        .layer(map_response_with_state(platform.clone(), name_era))
+        .layer(map_response_with_state(platform.clone(), add_era_header))
         .layer(from_fn_with_state(gate.clone(), apply_faults));
-    let open = Router::new()
+    let ungated = Router::new()
         .route("/boxes", post(set_boxes))
         .route("/restore", post(restore))
         .route("/counts", get(counts));
-    let router = gated.merge(open).with_state(platform);
+    let router = gated.merge(ungated).with_state(platform);
     let router = router.merge(faults_router(gate));
     let service = router.into_make_service_with_connect_info::<SocketAddr>();
     axum::serve(listener, service).await
 }
 
-async fn name_era(State(platform): State<Platform>, mut response: Response) -> Response {
+async fn add_era_header(State(platform): State<Platform>, mut response: Response) -> Response {
     let era = platform.table().era;
-    response.headers_mut().insert(ERA, era.into());
+    response.headers_mut().insert(ERA_HEADER, era.into());
     response
 }
 
-/// Comes back as the copy that was made at a revision.
+/// Restores the copy of the table that was made at a revision.
 async fn restore(State(platform): State<Platform>, Json(revision): Json<Revision>) {
     platform.table().restore(revision);
 }
@@ -214,7 +219,7 @@
     platform.table().reads += 1;
     let body = serde_json::to_vec(&platform.boxes()).expect("a list is plain data");
     let known = headers.get(header::IF_NONE_MATCH);
-    if known.is_some_and(|tag| tag.as_bytes() == tag_of(&body).as_bytes()) {
+    if known.is_some_and(|tag| tag.as_bytes() == etag_of(&body).as_bytes()) {
         return StatusCode::NOT_MODIFIED.into_response();
     }
     body.into_response()
@@ -224,7 +229,7 @@
     platform.set_boxes(boxes);
 }
 
-/// Reads and writes served, for measurements.
+/// Returns the numbers of reads and writes served.
 async fn counts(State(platform): State<Platform>) -> Json<(u64, u64)> {
     let table = platform.table();
     Json((table.reads, table.writes))
--- a/src/standin/table.rs
+++ b/src/standin/platform_client.rs
@@ -8,19 +8,19 @@
 use hyper::Method;
 use serde::de::DeserializeOwned;
 
-use super::platform::ERA;
+use super::platform::ERA_HEADER;
 use crate::borders::roster::{Listings, Roster};
 use crate::borders::table::{Commit, Revision, Scan, Section, Table, TableError, Verdict, Write};
 use crate::http::{Answer, Call, Client, HttpError};
 
-const WAIT: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 const NOT_MODIFIED: u16 = 304;
 
-/// The platform at one address.
+/// Client of the platform at one address.
 pub struct Platform {
     client: Client,
     address: Arc<str>,
-    /// The newest era that an answer has named.
+    /// Newest era that an answer has reported.
     era: Cell<u64>,
 }
 
@@ -33,22 +33,22 @@
         }
     }
 
-    /// What the table answers, and the era that it is of.
-    async fn ask<T: DeserializeOwned>(&self, call: Call<'_>) -> Result<(T, u64), TableError> {
-        let answer = self.client.ask(call).await.map_err(down)?;
-        let era = self.era_of(&answer)?;
-        let body = answer.done().map_err(down)?;
+    /// Sends a request, and returns the decoded answer and its era.
+    async fn request<T: DeserializeOwned>(&self, call: Call<'_>) -> Result<(T, u64), TableError> {
+        let answer = self.client.ask(call).await.map_err(unavailable)?;
+        let era = self.check_era(&answer)?;
+        let body = answer.done().map_err(unavailable)?;
         Ok((decode(&body)?, era))
     }
 
-    /// The era that an answer is of. One that names an older era than an answer before was
-    /// held up on its way, and what it says may be gone.
-    fn era_of(&self, answer: &Answer) -> Result<u64, TableError> {
-        let named = answer.headers.get(ERA);
-        let named = named.and_then(|value| value.to_str().ok()?.parse().ok());
-        let known = self.era.get();
-        let era: u64 = named.unwrap_or(known);
-        if era < known {
+    /// Returns the era of an answer and records it. Fails if an earlier answer had a newer era: the
+    /// answer was delayed, and describes a copy of the table that has been replaced.
+    fn check_era(&self, answer: &Answer) -> Result<u64, TableError> {
+        let reported = answer.headers.get(ERA_HEADER);
+        let reported = reported.and_then(|value| value.to_str().ok()?.parse().ok());
+        let newest_era = self.era.get();
+        let era: u64 = reported.unwrap_or(newest_era);
+        if era < newest_era {
             let message = "another copy has taken the table's place".to_owned();
             return Err(TableError::Unavailable(message));
         }
@@ -58,8 +58,8 @@
 
     async fn scan_after(&self, number: u64) -> Result<Scan, TableError> {
         let path = format!("/scan?since={number}");
-        let call = Call::get(&self.address, &path, WAIT);
-        let (mut scan, era): (Scan, u64) = self.ask(call).await?;
+        let call = Call::get(&self.address, &path, TIMEOUT);
+        let (mut scan, era): (Scan, u64) = self.request(call).await?;
         scan.head = Revision::new(era, scan.head.number());
         for row in &mut scan.rows {
             row.revision = Revision::new(era, row.revision.number());
@@ -67,15 +67,15 @@
         Ok(scan)
     }
 
-    /// Whether a condition names a position of an older era than the newest that is known. That
-    /// a row is not there names none.
+    /// Whether a write expects a revision of another era than the newest known one. The condition
+    /// that a row doesn't exist is valid in every era.
     fn is_outdated(&self, write: &Write) -> bool {
-        let named = write.expect.filter(|expect| expect.number() > 0);
-        named.is_some_and(|expect| expect.era() != self.era.get())
+        let expected = write.expect.filter(|expect| expect.number() > 0);
+        expected.is_some_and(|expect| expect.era() != self.era.get())
     }
 }
 
-fn down(error: HttpError) -> TableError {
+fn unavailable(error: HttpError) -> TableError {
     TableError::Unavailable(error.to_string())
 }
 
@@ -83,8 +83,8 @@
     serde_json::from_slice(body).map_err(|error| TableError::InvalidAnswer(error.to_string()))
 }
 
-/// A commit as it goes over the wire, where conditions are numbers.
-fn numbered(commit: &Commit) -> Commit {
+/// Returns the commit as sent, without the eras of the expected revisions.
+fn to_wire(commit: &Commit) -> Commit {
     let write = |write: &Write| Write {
         expect: write.expect.map(|expect| Revision::new(0, expect.number())),
         ..write.clone()
@@ -105,8 +105,8 @@
 #[async_trait(?Send)]
 impl Table for Platform {
     async fn head(&self) -> Result<Revision, TableError> {
-        let call = Call::get(&self.address, "/head", WAIT);
-        let (head, era): (Revision, u64) = self.ask(call).await?;
+        let call = Call::get(&self.address, "/head", TIMEOUT);
+        let (head, era): (Revision, u64) = self.request(call).await?;
         Ok(Revision::new(era, head.number()))
     }
 
@@ -117,7 +117,8 @@
                 return Ok(scan);
             }
         }
-        // A position of an older copy says nothing of this one, which lacks what it has lost.
+        // A revision of another era can't be compared with this copy, which may lack rows that
+        // were committed before the restore, so all rows are read.
         let mut scan = self.scan_after(0).await?;
         let head = scan.head;
         scan.whole = Section::ALL.into_iter().map(|s| (s, head)).collect();
@@ -129,16 +130,16 @@
         if let Some(write) = outdated() {
             return Ok(conflict(write));
         }
-        let body = serde_json::to_vec(&numbered(commit)).expect("a commit is plain data");
+        let body = serde_json::to_vec(&to_wire(commit)).expect("a commit is plain data");
         let json = ("content-type", "application/json".to_owned());
         let call = Call {
             method: Method::POST,
             headers: vec![json],
             body,
-            ..Call::get(&self.address, "/commit", WAIT)
+            ..Call::get(&self.address, "/commit", TIMEOUT)
         };
-        let (verdict, era): (Verdict, u64) = self.ask(call).await?;
-        // A number of the copy before may have been given out again, to another row.
+        let (verdict, era): (Verdict, u64) = self.request(call).await?;
+        // If the era changed meanwhile, an expected revision number may belong to another commit.
         Ok(match (verdict, outdated()) {
             (_, Some(write)) => conflict(write),
             (Verdict::Done(at), None) => Verdict::Done(Revision::new(era, at.number())),
@@ -155,15 +156,15 @@
     async fn boxes(&self, tag: &str) -> Result<Option<Listings>, TableError> {
         let call = Call {
             headers: vec![("if-none-match", tag.to_owned())],
-            ..Call::get(&self.address, "/boxes", WAIT)
+            ..Call::get(&self.address, "/boxes", TIMEOUT)
         };
         let body = match self.client.call(call).await {
             Ok(body) => body,
             Err(HttpError::Status { code, .. }) if code == NOT_MODIFIED => return Ok(None),
-            Err(error) => return Err(down(error)),
+            Err(error) => return Err(unavailable(error)),
         };
         let boxes = decode(&body)?;
-        let tag = tag_of(&body);
+        let tag = etag_of(&body);
         Ok(Some(Listings {
             tag,
             revision: Revision::NONE,
@@ -172,7 +173,7 @@
     }
 }
 
-/// The tag of a list of boxes as sent.
-pub fn tag_of(body: &[u8]) -> String {
+/// Returns the entity tag of an encoded list of boxes.
+pub fn etag_of(body: &[u8]) -> String {
     format!("\"{:016x}\"", xxhash_rust::xxh3::xxh3_64(body))
 }
--- a/src/standin/ports.rs
+++ b/src/standin/ports.rs
@@ -1,16 +1,16 @@
-//! The borders of a box that runs on the stand-ins and speaks PostgreSQL.
+//! Ports of a box that runs on the stand-ins and serves the PostgreSQL protocol.
 
 use std::rc::Rc;
 
 use super::control::Remotes;
-use super::table::Platform;
+use super::platform_client::Platform;
 use crate::configs::run::Run;
 use crate::http::Client;
 use crate::node::run::Ports;
 use crate::postgres::connection::Remote;
 use crate::postgres::entry::Front;
 
-/// Ports for these settings.
+/// Creates the ports for these settings.
 pub fn build(settings: &Run) -> Ports {
     let client = Client::new(settings.ip);
     let from = settings.ip;
