--- a/src/commands/run.rs
+++ b/src/commands/run.rs
@@ -16,7 +16,7 @@
         }
     };
     let log = events::logger(settings.log);
-    let ports = ports::standin(&settings);
+    let ports = ports::build(&settings);
     ignore_hangup(&log)?;
     node::run::run(settings, Settings::default(), ports, log, stop_signal()?).await?;
     Ok(Exit::Done)
--- a/src/standin/ports.rs
+++ b/src/standin/ports.rs
@@ -1,17 +1,17 @@
-//! The borders of a box that runs on the stand-ins and speaks PostgreSQL.
+//! Ports of a box that runs on the stand-ins and serves the PostgreSQL protocol.
 
 use std::rc::Rc;
 
 use super::control::Remotes;
-use super::table::Platform;
+use super::platform_client::Platform;
 use crate::configs::run::Run;
 use crate::http::Client;
 use crate::node::run::Ports;
 use crate::postgres::connection::Connector;
 use crate::postgres::entry::Acceptor;
 
-/// Ports for these settings.
-pub fn standin(settings: &Run) -> Ports {
+/// Creates the ports for these settings.
+pub fn build(settings: &Run) -> Ports {
     let client = Client::new(settings.ip);
     let from = settings.ip;
     let platform = Rc::new(Platform::new(client.clone(), settings.platform.clone()));
@@ -21,7 +21,7 @@
     };
     let members = Remotes {
         client: client.clone(),
-        from,
+        source: from,
     };
     Ports::new(
         client,
