--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -20,9 +20,9 @@
 use larkfall::standin::faults::Faults;
 use larkfall::trial::client::Client;
 use larkfall::trial::cluster::{Cluster, Shape, operator_token};
-use larkfall::trial::cost::{cpu, loopback_bytes, memory};
 use larkfall::trial::host::{Host, Threads};
 use larkfall::trial::sample::Sample;
+use larkfall::trial::usage::{loopback_bytes, resident_bytes, thread_cpu_time};
 use processes::Processes;
 use serde_json::json;
 use tokio::task::LocalSet;
@@ -52,13 +52,13 @@
     for count in [1, 2, 4, 8, 16] {
         let mut cluster = Cluster::start(shape(3, count), &Threads::default()).await?;
         tokio::time::sleep(Duration::from_secs(2)).await;
-        let (bytes, time) = (loopback_bytes(), cpu("box-"));
+        let (bytes, time) = (loopback_bytes(), thread_cpu_time("box-"));
         let probes = cluster.counter("larkfall_probes_total").await;
         tokio::time::sleep(WATCH).await;
-        let (bytes, time) = (loopback_bytes() - bytes, cpu("box-") - time);
+        let (bytes, time) = (loopback_bytes() - bytes, thread_cpu_time("box-") - time);
         let probes = cluster.counter("larkfall_probes_total").await - probes;
         for part in &mut cluster.boxes {
-            part.running.kill();
+            part.handle.kill();
         }
         tokio::time::sleep(Duration::from_millis(500)).await;
         let without = loopback_bytes();
@@ -84,10 +84,10 @@
     for boxes in [3, 6, 12, 24, 48] {
         let cluster = Cluster::start(shape(boxes, 1), &Threads::default()).await?;
         tokio::time::sleep(Duration::from_secs(3)).await;
-        let (bytes, time) = (loopback_bytes(), cpu("box-"));
+        let (bytes, time) = (loopback_bytes(), thread_cpu_time("box-"));
         let reads = cluster.platform_reads().await;
         tokio::time::sleep(WATCH).await;
-        let (bytes, time) = (loopback_bytes() - bytes, cpu("box-") - time);
+        let (bytes, time) = (loopback_bytes() - bytes, thread_cpu_time("box-") - time);
         let reads = cluster.platform_reads().await - reads;
         let seconds = WATCH.as_secs_f64();
         println!(
@@ -125,7 +125,7 @@
             .join("larkfall"),
     };
     let cluster = Cluster::start(shape(1, 1), &host as &dyn Host).await?;
-    let pid = cluster.boxes[0].running.id();
+    let pid = cluster.boxes[0].handle.process_id();
     let mut clients: Vec<Client> = Vec::new();
     for count in [0, 500, 1_000, 2_000, 4_000] {
         let (before, spent) = (clients.len(), processor(pid));
@@ -195,7 +195,7 @@
         .collect();
     let log = logger(Format::None);
     for count in [105, 210, 420, 840, 1_680] {
-        let before = memory();
+        let before = resident_bytes();
         let scan = Scan {
             head: 2.into(),
             rows: rows(count),
@@ -224,7 +224,7 @@
         let most = owned.values().max().copied().unwrap_or_default();
         println!(
             "  {count:5} groups  {:6.2} MB  as JSON {:6.2} MB  taking all {:6.1} ms  snapshot {:6.1} ms  owners {:6.1} ms  most groups on a box {most}",
-            (memory().saturating_sub(before)) as f64 / 1e6,
+            (resident_bytes().saturating_sub(before)) as f64 / 1e6,
             size as f64 / 1e6,
             taken.as_secs_f64() * 1e3,
             built.as_secs_f64() * 1e3,
@@ -245,7 +245,7 @@
         let cluster = Cluster::start(shape(boxes, 1), &Threads::default()).await?;
         tokio::time::sleep(Duration::from_secs(2)).await;
         let mut sample = Sample::default();
-        let (bytes, time) = (loopback_bytes(), cpu("box-"));
+        let (bytes, time) = (loopback_bytes(), thread_cpu_time("box-"));
         for change in 0..CHANGES {
             let spec = json!({ "partner": "huerto", "group": "g0", "name": "panel", "max_age_ms": 1_000 + change });
             let resource = json!({ "kind": "read", "spec": spec });
@@ -257,14 +257,16 @@
             let revision = done.map_err(anyhow::Error::msg)?["revision"]
                 .as_u64()
                 .unwrap_or_default();
-            cluster.in_force(revision).await?;
+            cluster.wait_for_revision(revision).await?;
             sample.add(start.elapsed());
         }
         println!(
             "  {boxes:3} boxes  {}  {:7.0} B a box and change, polls and looks included  {:6.2} ms processor a box and change",
             sample.summary(),
             (loopback_bytes() - bytes) as f64 / f64::from(boxes) / CHANGES as f64,
-            (cpu("box-") - time).as_secs_f64() * 1e3 / f64::from(boxes) / CHANGES as f64,
+            (thread_cpu_time("box-") - time).as_secs_f64() * 1e3
+                / f64::from(boxes)
+                / CHANGES as f64,
         );
     }
     Ok(())
@@ -276,7 +278,7 @@
     for count in [2, 4, 8, 16] {
         let cluster = Cluster::start(shape(3, count), &Threads::default()).await?;
         tokio::time::sleep(Duration::from_secs(2)).await;
-        let (bytes, time) = (loopback_bytes(), cpu("box-"));
+        let (bytes, time) = (loopback_bytes(), thread_cpu_time("box-"));
         let began = Instant::now();
         for group in 0..count {
             let faults = Faults {
@@ -296,7 +298,7 @@
             "  {count:3} groups  all replaced after {:6.0} ms  {:7.0} B a group in 4 s, looking included  {:6.2} ms processor a group",
             replaced.as_secs_f64() * 1e3,
             (loopback_bytes() - bytes) as f64 / count as f64,
-            (cpu("box-") - time).as_secs_f64() * 1e3 / count as f64,
+            (thread_cpu_time("box-") - time).as_secs_f64() * 1e3 / count as f64,
         );
     }
     Ok(())
--- a/examples/failover.rs
+++ b/examples/failover.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use larkfall::standin::faults::Faults;
-use larkfall::trial::cluster::{Cluster, Shape, until};
+use larkfall::trial::cluster::{Cluster, Shape, wait_until};
 use larkfall::trial::host::Threads;
 use larkfall::trial::journal::Verdict;
 use larkfall::trial::sample::Sample;
@@ -47,13 +47,13 @@
     fail(&mut cluster, kind).await?;
     // Acknowledgements well after the fault, so that the gap is over.
     let goal = |journal: &larkfall::trial::journal::Journal| {
-        let last = journal.acks.iter().rev().take(AFTER);
-        journal.acks.len() > AFTER
+        let last = journal.acknowledged_at.iter().rev().take(AFTER);
+        journal.acknowledged_at.len() > AFTER
             && last
                 .min()
                 .is_some_and(|at| *at > since + Duration::from_millis(60))
     };
-    until("writes go on", async || goal(&workload.journal.borrow())).await?;
+    wait_until("writes go on", async || goal(&workload.journal.borrow())).await?;
     let gap = workload
         .journal
         .borrow()
@@ -78,7 +78,7 @@
     let mut faults = cluster.no_faults();
     match kind {
         "killed" => {
-            cluster.members[0][0].running.kill();
+            cluster.members[0][0].handle.kill();
             return Ok(());
         }
         "frozen" => faults.frozen = true,
--- a/examples/overload.rs
+++ b/examples/overload.rs
@@ -95,7 +95,7 @@
 }
 
 async fn callers(cluster: &Cluster, i: usize, group: &str) -> anyhow::Result<Rc<Callers>> {
-    let (partner, group) = cluster.group_name(group);
+    let (partner, group) = cluster.split_group_name(group);
     Ok(Rc::new(Callers {
         at: cluster.sql_address(i),
         partner: partner.to_owned(),
--- a/examples/speed.rs
+++ b/examples/speed.rs
@@ -9,10 +9,10 @@
 
 use larkfall::trial::bench;
 use larkfall::trial::client::Client;
-use larkfall::trial::cluster::{Cluster, Shape, until};
-use larkfall::trial::cost::cpu;
+use larkfall::trial::cluster::{Cluster, Shape, wait_until};
 use larkfall::trial::host::Threads;
 use larkfall::trial::sample::Sample;
+use larkfall::trial::usage::thread_cpu_time;
 use serde_json::json;
 use tokio::task::LocalSet;
 
@@ -99,7 +99,7 @@
     }
     let owner = owner.expect("one box owns the group");
     let member = SocketAddr::new(cluster.members[0][1].ip, 5432);
-    until("the replica has the row", async || {
+    wait_until("the replica has the row", async || {
         match Client::connect(member, "x", "x", None).await {
             Ok(mut direct) => direct.query(SQL).await.is_ok_and(|a| a.rows.len() == 1),
             Err(_) => false,
@@ -135,9 +135,9 @@
     for (name, at) in [("owner", owner), ("forwarding", 1 - owner)] {
         for callers in [1, 4, 16, 64] {
             let before = (
-                cpu(&format!("box-b{owner}")),
-                cpu(&format!("box-b{}", 1 - owner)),
-                cpu("member"),
+                thread_cpu_time(&format!("box-b{owner}")),
+                thread_cpu_time(&format!("box-b{}", 1 - owner)),
+                thread_cpu_time("member"),
             );
             let rate = through(cluster.sql_address(at), callers, length).await?;
             let spent = |after: Duration, before: Duration| {
@@ -145,9 +145,9 @@
             };
             println!(
                 "{name:10} {callers:3} callers  {rate:8.0}/s  processor a statement: owner {:5.1} us  entry {:5.1} us  members {:5.1} us",
-                spent(cpu(&format!("box-b{owner}")), before.0),
-                spent(cpu(&format!("box-b{}", 1 - owner)), before.1),
-                spent(cpu("member"), before.2),
+                spent(thread_cpu_time(&format!("box-b{owner}")), before.0),
+                spent(thread_cpu_time(&format!("box-b{}", 1 - owner)), before.1),
+                spent(thread_cpu_time("member"), before.2),
             );
         }
     }
--- a/examples/support/processes.rs
+++ b/examples/support/processes.rs
@@ -5,7 +5,7 @@
 
 use larkfall::configs::run::Run;
 use larkfall::standin::{member, platform};
-use larkfall::trial::host::{Host, Running};
+use larkfall::trial::host::{Handle, Host};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
@@ -17,7 +17,7 @@
 pub struct Process(Child);
 
 impl Process {
-    fn start(program: &Path, arguments: Vec<(&str, String)>, command: &[&str]) -> Box<dyn Running> {
+    fn start(program: &Path, arguments: Vec<(&str, String)>, command: &[&str]) -> Box<dyn Handle> {
         let mut program = Command::new(program);
         program.args(command);
         for (flag, value) in arguments {
@@ -32,7 +32,7 @@
     }
 }
 
-impl Running for Process {
+impl Handle for Process {
     fn kill(&mut self) {
         self.signal(Signal::SIGKILL);
         let _ = self.0.wait();
@@ -43,11 +43,11 @@
         let _ = self.0.wait();
     }
 
-    fn id(&self) -> u32 {
+    fn process_id(&self) -> u32 {
         self.0.id()
     }
 
-    fn freeze(&mut self, frozen: bool) {
+    fn set_frozen(&mut self, frozen: bool) {
         self.signal(match frozen {
             true => Signal::SIGSTOP,
             false => Signal::SIGCONT,
@@ -62,7 +62,7 @@
 }
 
 impl Host for Processes {
-    fn member(&self, settings: &member::Settings) -> Box<dyn Running> {
+    fn start_member(&self, settings: &member::Settings) -> Box<dyn Handle> {
         let role = match settings.primary {
             true => "primary",
             false => "replica",
@@ -81,7 +81,7 @@
         Process::start(&self.program, arguments, &["stand-in", "member"])
     }
 
-    fn platform(&self, settings: &platform::Settings) -> Box<dyn Running> {
+    fn start_platform(&self, settings: &platform::Settings) -> Box<dyn Handle> {
         let arguments = vec![
             ("ip", settings.ip.to_string()),
             ("port", settings.port.to_string()),
@@ -90,7 +90,7 @@
         Process::start(&self.program, arguments, &["stand-in", "platform"])
     }
 
-    fn node(&self, settings: &Run) -> Box<dyn Running> {
+    fn start_box(&self, settings: &Run) -> Box<dyn Handle> {
         let arguments = vec![
             ("name", settings.name.to_string()),
             ("domain", settings.domain.to_string()),
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -58,7 +58,7 @@
     tokio::time::sleep(length / 2).await;
     let killed = workload.elapsed();
     let primary = cluster.primary(0).await.unwrap_or_default();
-    cluster.members[0][primary].running.kill();
+    cluster.members[0][primary].handle.kill();
     tokio::time::sleep(length / 2).await;
     let (verdict, journal) = workload.finish().await?;
     let replica = cluster.counter("larkfall_reads_by_replica_total").await;
--- a/src/trial.rs
+++ b/src/trial.rs
@@ -3,8 +3,8 @@
 pub mod bench;
 pub mod client;
 pub mod cluster;
-pub mod cost;
 pub mod host;
 pub mod journal;
 pub mod sample;
+pub mod usage;
 pub mod workload;
--- a/src/trial/cluster.rs
+++ b/src/trial/cluster.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 use super::client::{Client, ClientError};
-use super::host::{Host, Running};
+use super::host::{Handle, Host};
 use crate::borders::table::Revision;
 use crate::configs::run::Run;
 use crate::events::Format;
@@ -79,11 +79,11 @@
 }
 
 /// A box or a member at its place.
-pub struct Part {
+pub struct Instance {
     pub name: String,
     pub ip: IpAddr,
     pub domain: u8,
-    pub running: Box<dyn Running>,
+    pub handle: Box<dyn Handle>,
 }
 
 /// A running system.
@@ -91,10 +91,10 @@
     pub shape: Shape,
     pub net: (u8, u8),
     pub http: Http,
-    pub boxes: Vec<Part>,
+    pub boxes: Vec<Instance>,
     /// By group, then by member.
-    pub members: Vec<Vec<Part>>,
-    pub platform: Part,
+    pub members: Vec<Vec<Instance>>,
+    pub platform: Instance,
 }
 
 /// A pair of bytes below which this process's systems put their addresses.
@@ -127,11 +127,11 @@
     pub async fn start(shape: Shape, host: &dyn Host) -> anyhow::Result<Self> {
         let net = fresh_net();
         let platform_ip = Self::ip_in(net, 0, 1);
-        let platform = Part {
+        let platform = Instance {
             name: "platform".to_owned(),
             ip: platform_ip,
             domain: 0,
-            running: host.platform(&platform::Settings {
+            handle: host.start_platform(&platform::Settings {
                 ip: platform_ip,
                 port: PLATFORM_PORT,
                 roster_lag_ms: 0,
@@ -178,13 +178,13 @@
         }
     }
 
-    fn start_member(&self, host: &dyn Host, group: usize, member: u8) -> Part {
+    fn start_member(&self, host: &dyn Host, group: usize, member: u8) -> Instance {
         let settings = self.member_settings(group, member);
-        Part {
+        Instance {
             name: format!("m{member}"),
             ip: settings.ip,
             domain: member % self.shape.domains,
-            running: host.member(&settings),
+            handle: host.start_member(&settings),
         }
     }
 
@@ -205,19 +205,19 @@
         }
     }
 
-    pub fn start_box(&self, host: &dyn Host, i: u8) -> Part {
+    pub fn start_box(&self, host: &dyn Host, i: u8) -> Instance {
         let settings = self.box_settings(i);
-        Part {
+        Instance {
             name: settings.name.to_string(),
             ip: settings.ip,
             domain: i % self.shape.domains,
-            running: host.node(&settings),
+            handle: host.start_box(&settings),
         }
     }
 
     async fn wait_for_platform(&self) -> anyhow::Result<()> {
         let address = format!("{}:{PLATFORM_PORT}", self.platform.ip);
-        until("the platform answers", async || {
+        wait_until("the platform answers", async || {
             self.http.get(&address, "/head", WAIT).await.is_ok()
         })
         .await
@@ -238,7 +238,13 @@
             .await
     }
 
-    async fn post(&self, part: &Part, port: u16, path: &str, body: &Value) -> anyhow::Result<()> {
+    async fn post(
+        &self,
+        part: &Instance,
+        port: u16,
+        path: &str,
+        body: &Value,
+    ) -> anyhow::Result<()> {
         let address = format!("{}:{port}", part.ip);
         let call = Call {
             method: Method::POST,
@@ -254,7 +260,7 @@
     }
 
     /// Partner and name of a group, which is written `PARTNER/NAME` or `NAME`.
-    pub fn group_name<'a>(&'a self, group: &'a str) -> (&'a str, &'a str) {
+    pub fn split_group_name<'a>(&'a self, group: &'a str) -> (&'a str, &'a str) {
         group
             .split_once('/')
             .unwrap_or((&self.shape.partner, group))
@@ -264,7 +270,7 @@
     pub fn partners(&self) -> BTreeSet<String> {
         let groups = self.shape.groups.iter();
         groups
-            .map(|group| self.group_name(group).0.to_owned())
+            .map(|group| self.split_group_name(group).0.to_owned())
             .collect()
     }
 
@@ -272,7 +278,7 @@
     pub fn declarations(&self, partner: &str) -> Vec<Value> {
         let mut resources = Vec::new();
         for (g, group) in self.shape.groups.iter().enumerate() {
-            let (owner, group) = self.group_name(group);
+            let (owner, group) = self.split_group_name(group);
             if owner != partner {
                 continue;
             }
@@ -321,7 +327,7 @@
 
     /// Applies as soon as the first box takes it.
     async fn apply_until(&self, token: &str, resources: &[Value]) -> anyhow::Result<()> {
-        until("the first box takes declarations", async || {
+        wait_until("the first box takes declarations", async || {
             self.apply(0, token, resources).await.is_ok()
         })
         .await
@@ -356,7 +362,7 @@
     async fn wait_until_serving(&self) -> anyhow::Result<()> {
         for i in 0..self.boxes.len() {
             for group in &self.shape.groups {
-                until("a box serves", async || {
+                wait_until("a box serves", async || {
                     let Ok(mut client) = self.connect(i, group, None).await else {
                         return false;
                     };
@@ -379,7 +385,7 @@
         group: &str,
         token: Option<&str>,
     ) -> Result<Client, ClientError> {
-        let (partner, group) = self.group_name(group);
+        let (partner, group) = self.split_group_name(group);
         Client::connect(self.sql_address(i), partner, group, token).await
     }
 
@@ -494,9 +500,9 @@
     }
 
     /// Waits until every box has a revision in force.
-    pub async fn in_force(&self, revision: u64) -> anyhow::Result<()> {
+    pub async fn wait_for_revision(&self, revision: u64) -> anyhow::Result<()> {
         for i in 0..self.boxes.len() {
-            until("the revision is in force", async || {
+            wait_until("the revision is in force", async || {
                 let dump = self.http.get(&self.api_address(i), "/revision", WAIT).await;
                 let found = dump
                     .ok()
@@ -510,7 +516,7 @@
 
     /// Which member leads the group, by what an owner knows.
     pub async fn primary(&self, group: usize) -> Option<usize> {
-        let (partner, name) = self.group_name(&self.shape.groups[group]);
+        let (partner, name) = self.split_group_name(&self.shape.groups[group]);
         let id = format!("{partner}/{name}");
         let mut best: (u64, Option<usize>) = (0, None);
         for i in 0..self.boxes.len() {
@@ -536,7 +542,7 @@
 }
 
 /// Waits until something holds.
-pub async fn until(what: &str, holds: impl AsyncFn() -> bool) -> anyhow::Result<()> {
+pub async fn wait_until(what: &str, holds: impl AsyncFn() -> bool) -> anyhow::Result<()> {
     let end = tokio::time::Instant::now() + START;
     while tokio::time::Instant::now() < end {
         if holds().await {
--- a/src/trial/host.rs
+++ b/src/trial/host.rs
@@ -17,24 +17,24 @@
 use crate::standin::{member, platform};
 
 /// Something that runs and can be ended.
-pub trait Running {
+pub trait Handle {
     /// Ends it at once, as a kill would.
     fn kill(&mut self);
     /// Asks it to stop in good order and waits until it has.
     fn stop(&mut self);
     /// Its process.
-    fn id(&self) -> u32 {
+    fn process_id(&self) -> u32 {
         std::process::id()
     }
     /// Has it do nothing at all, or go on. Threads of this process can't be frozen.
-    fn freeze(&mut self, _frozen: bool) {}
+    fn set_frozen(&mut self, _frozen: bool) {}
 }
 
 /// Starts things. Tests start processes, the demo starts threads.
 pub trait Host {
-    fn member(&self, settings: &member::Settings) -> Box<dyn Running>;
-    fn platform(&self, settings: &platform::Settings) -> Box<dyn Running>;
-    fn node(&self, settings: &Run) -> Box<dyn Running>;
+    fn start_member(&self, settings: &member::Settings) -> Box<dyn Handle>;
+    fn start_platform(&self, settings: &platform::Settings) -> Box<dyn Handle>;
+    fn start_box(&self, settings: &Run) -> Box<dyn Handle>;
 }
 
 /// Starts threads.
@@ -53,7 +53,7 @@
     fn start<F>(
         name: String,
         run: impl FnOnce(watch::Receiver<bool>) -> F + Send + 'static,
-    ) -> Box<dyn Running>
+    ) -> Box<dyn Handle>
     where
         F: Future<Output = anyhow::Result<()>> + 'static,
     {
@@ -89,7 +89,7 @@
     }
 }
 
-impl Running for Thread {
+impl Handle for Thread {
     fn kill(&mut self) {
         if let Some(kill) = self.kill.take() {
             let _ = kill.send(());
@@ -112,17 +112,17 @@
 }
 
 impl Host for Threads {
-    fn member(&self, settings: &member::Settings) -> Box<dyn Running> {
+    fn start_member(&self, settings: &member::Settings) -> Box<dyn Handle> {
         let settings = settings.clone();
         Thread::start("member".to_owned(), move |_| serve_member(settings))
     }
 
-    fn platform(&self, settings: &platform::Settings) -> Box<dyn Running> {
+    fn start_platform(&self, settings: &platform::Settings) -> Box<dyn Handle> {
         let settings = settings.clone();
         Thread::start("platform".to_owned(), move |_| serve_platform(settings))
     }
 
-    fn node(&self, settings: &Run) -> Box<dyn Running> {
+    fn start_box(&self, settings: &Run) -> Box<dyn Handle> {
         let settings = settings.clone();
         let decisions = self.decisions;
         let name = format!("box-{}", settings.name);
--- a/src/trial/journal.rs
+++ b/src/trial/journal.rs
@@ -20,7 +20,7 @@
     pub reads: u64,
     pub writes: u64,
     /// Moments of acknowledgement, since the start.
-    pub acks: Vec<Duration>,
+    pub acknowledged_at: Vec<Duration>,
     /// SQLSTATEs met, and how often.
     pub errors: BTreeMap<String, u64>,
 }
@@ -39,7 +39,7 @@
 impl Journal {
     /// Longest time without an acknowledgement that ends after `since`.
     pub fn gap_after(&self, since: Duration) -> Option<Duration> {
-        let mut acks = self.acks.clone();
+        let mut acks = self.acknowledged_at.clone();
         acks.sort_unstable();
         let pairs = acks.windows(2).filter(|pair| pair[1] >= since);
         pairs.map(|pair| pair[1] - pair[0]).max()
--- a/src/trial/cost.rs
+++ b/src/trial/usage.rs
@@ -8,7 +8,7 @@
 const PAGE_BYTES: u64 = 4096;
 
 /// Processor time of this process's threads whose name starts with `prefix`.
-pub fn cpu(prefix: &str) -> Duration {
+pub fn thread_cpu_time(prefix: &str) -> Duration {
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
         return Duration::ZERO;
     };
@@ -54,7 +54,7 @@
 }
 
 /// Resident memory of this process, in bytes.
-pub fn memory() -> u64 {
+pub fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
         .split_whitespace()
--- a/src/trial/workload.rs
+++ b/src/trial/workload.rs
@@ -222,7 +222,7 @@
             Ok(answer) => {
                 journal.foreign_answers += u64::from(answer.tag != "INSERT 0 1");
                 journal.acknowledged.insert(id);
-                journal.acks.push(self.start.elapsed());
+                journal.acknowledged_at.push(self.start.elapsed());
                 self.acknowledged = sequence as i64;
                 Ok(())
             }
--- a/tests/system/failover.rs
+++ b/tests/system/failover.rs
@@ -1,7 +1,7 @@
 //! Two boxes, one group of three members: sessions, and a primary that dies.
 
 use googletest::prelude::*;
-use larkfall::trial::cluster::{Shape, until};
+use larkfall::trial::cluster::{Shape, wait_until};
 
 use super::support::{acknowledged, is_clean, start_load, with_cluster};
 
@@ -48,7 +48,7 @@
     with_cluster(Shape::default(), async |cluster| {
         let workload = start_load(cluster, "market").await;
         acknowledged(&workload, 50).await;
-        cluster.members[0][0].running.kill();
+        cluster.members[0][0].handle.kill();
         acknowledged(&workload, 50).await;
         is_clean(workload).await;
         expect_that!(cluster.primary(0).await, some(not(eq(0))));
@@ -60,12 +60,12 @@
     with_cluster(Shape::default(), async |cluster| {
         let workload = start_load(cluster, "market").await;
         acknowledged(&workload, 50).await;
-        cluster.members[0][0].running.freeze(true);
+        cluster.members[0][0].handle.set_frozen(true);
         acknowledged(&workload, 50).await;
-        cluster.members[0][0].running.freeze(false);
+        cluster.members[0][0].handle.set_frozen(false);
         acknowledged(&workload, 50).await;
         is_clean(workload).await;
-        until("the old primary follows", async || {
+        wait_until("the old primary follows", async || {
             let dump = cluster.dump(0).await.unwrap_or_default();
             dump["groups"][0]["members"][0]["role"] == "Replica"
         })
@@ -87,9 +87,9 @@
             .query("INSERT INTO coin VALUES (1)")
             .await
             .expect("writes");
-        cluster.boxes[1].running.kill();
+        cluster.boxes[1].handle.kill();
         let mut other = cluster.connect(0, "market", None).await.expect("connects");
-        until("the transaction's lock is free", async || {
+        wait_until("the transaction's lock is free", async || {
             let mut probe = cluster.connect(0, "market", None).await.expect("connects");
             probe.query("INSERT INTO coin VALUES (2)").await.is_ok()
         })
--- a/tests/system/hostile.rs
+++ b/tests/system/hostile.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use larkfall::standin::faults::Faults;
-use larkfall::trial::cluster::{Cluster, Shape, until};
+use larkfall::trial::cluster::{Cluster, Shape, wait_until};
 use larkfall::trial::journal::Verdict;
 use larkfall::trial::workload::{Mix, Workload, create_tables};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -73,7 +73,7 @@
                 answer?.number()
             };
             // v1.0.0 is a possible floor: it asks for nothing, and is given time.
-            until("the row is seen", async || read().await == Some(1))
+            wait_until("the row is seen", async || read().await == Some(1))
                 .await
                 .expect("is seen");
             let answer = roaming.query("SELECT count(*) FROM seed").await;
@@ -146,7 +146,7 @@
                 .await
                 .expect("switches");
             let goal = done(&workload) + 100;
-            until("reads go on", async || done(&workload) >= goal)
+            wait_until("reads go on", async || done(&workload) >= goal)
                 .await
                 .expect("reads go on");
             cluster
--- a/tests/system/many.rs
+++ b/tests/system/many.rs
@@ -6,7 +6,7 @@
 use larkfall::http::HttpError;
 use larkfall::standin::faults::Faults;
 use larkfall::trial::client::Client;
-use larkfall::trial::cluster::{Cluster, Shape, operator_token, until};
+use larkfall::trial::cluster::{Cluster, Shape, operator_token, wait_until};
 use serde_json::{Value, json};
 
 use super::support::{acknowledged, is_clean, processes, start_load, with_cluster};
@@ -41,7 +41,7 @@
         let market = start_load(cluster, "market").await;
         let decks = start_load(cluster, "cards/decks").await;
         acknowledged(&market, 30).await;
-        cluster.members[0][0].running.kill();
+        cluster.members[0][0].handle.kill();
         acknowledged(&market, 30).await;
         acknowledged(&decks, 30).await;
         expect_that!(cluster.counter("larkfall_forwarded_total").await, gt(0.0));
@@ -63,7 +63,7 @@
             .await
             .expect("switches");
         acknowledged(&workload, 20).await;
-        cluster.members[0][0].running.kill();
+        cluster.members[0][0].handle.kill();
         acknowledged(&workload, 30).await;
         let refused = apply(cluster, 0, &[kind("late", 7)]).await;
         expect_that!(refused.is_err(), eq(true));
@@ -71,7 +71,7 @@
             .set_platform_faults(&Faults::default())
             .await
             .expect("switches");
-        until("changes are taken again", async || {
+        wait_until("changes are taken again", async || {
             apply(cluster, 1, &[kind("late", 7)]).await.is_ok()
         })
         .await
@@ -88,7 +88,7 @@
         let copy = cluster.platform_head().await.expect("answers");
         for age in 1..8 {
             let lost = [kind("kept", age), kind(&format!("lost-{age}"), age)];
-            until("a change is taken", async || {
+            wait_until("a change is taken", async || {
                 apply(cluster, 0, &lost).await.is_ok()
             })
             .await
@@ -100,18 +100,18 @@
             found.is_some_and(|found| found["spec"]["max_age_ms"] == json!(age))
         };
         for i in 0..9 {
-            until("it is in force", async || shown(i, 7).await)
+            wait_until("it is in force", async || shown(i, 7).await)
                 .await
                 .expect("it is in force");
         }
         cluster.restore_platform(copy).await.expect("restores");
-        until("a change is taken again", async || {
+        wait_until("a change is taken again", async || {
             apply(cluster, 1, &[kind("kept", 70)]).await.is_ok()
         })
         .await
         .expect("a change is taken again");
         for i in 0..9 {
-            until("it is in force", async || shown(i, 70).await)
+            wait_until("it is in force", async || shown(i, 70).await)
                 .await
                 .expect("it is in force");
         }
@@ -134,10 +134,10 @@
                 .set_platform_faults(&refuse)
                 .await
                 .expect("switches");
-            cluster.boxes[2].running.kill();
+            cluster.boxes[2].handle.kill();
             let fresh = cluster.start_box(&processes(), 2);
             cluster.boxes[2] = fresh;
-            until("the box serves", async || {
+            wait_until("the box serves", async || {
                 let client = cluster.connect(2, "market", None).await;
                 match client {
                     Ok(mut client) => client.query("SELECT 1").await.is_ok(),
@@ -162,7 +162,7 @@
                 .await
                 .expect("is taken");
             let revision = first["revision"].as_u64().expect("has a revision");
-            cluster.in_force(revision).await.expect("in force");
+            cluster.wait_for_revision(revision).await.expect("in force");
             for round in 0..10 {
                 let (a, b) = ([kind("panel", 100 + round)], [kind("panel", 200 + round)]);
                 let (one, other) = tokio::join!(apply(cluster, 0, &a), apply(cluster, 1, &b));
@@ -182,7 +182,7 @@
                     .into_iter()
                     .filter_map(|r| r.ok()?["revision"].as_u64());
                 cluster
-                    .in_force(newest.max().expect("one was taken"))
+                    .wait_for_revision(newest.max().expect("one was taken"))
                     .await
                     .expect("in force");
             }
@@ -235,7 +235,7 @@
         let revision = done.expect("is taken")["revision"]
             .as_u64()
             .expect("has a revision");
-        cluster.in_force(revision).await.expect("in force");
+        cluster.wait_for_revision(revision).await.expect("in force");
         let again = apply(cluster, 3, &change).await.expect("is taken");
         expect_that!(again["plan"][0]["action"].as_str(), some(eq("keep")));
     });
@@ -258,13 +258,13 @@
                 }
             }
             apply(cluster, 0, &declared).await.expect("is taken");
-            until("another member leads", async || {
+            wait_until("another member leads", async || {
                 cluster.primary(0).await.is_some_and(|primary| primary != 0)
             })
             .await
             .expect("another member leads");
             acknowledged(&workload, 20).await;
-            until("the leaving member is idle", async || {
+            wait_until("the leaving member is idle", async || {
                 let mut running = 0;
                 for i in 0..3 {
                     let dump = cluster.dump(i).await.unwrap_or_default();
@@ -294,10 +294,10 @@
             let workload = start_load(cluster, "market").await;
             for i in 0..4 {
                 acknowledged(&workload, 20).await;
-                cluster.boxes[i].running.stop();
+                cluster.boxes[i].handle.stop();
                 let fresh = cluster.start_box(&processes(), i as u8);
                 cluster.boxes[i] = fresh;
-                until("the box serves again", async || {
+                wait_until("the box serves again", async || {
                     cluster.connect(i, "market", None).await.is_ok()
                 })
                 .await
@@ -336,7 +336,7 @@
             let (primary, members) = (0, &mut cluster.members);
             let kill = async {
                 tokio::task::yield_now().await;
-                members[0][primary].running.kill();
+                members[0][primary].handle.kill();
             };
             let (tags, ()) = tokio::join!(presses, kill);
             let told: BTreeSet<String> = tags.into_iter().flatten().collect();
@@ -367,7 +367,7 @@
                 declared[0]["spec"]["owners"] = json!(owners);
                 let done = apply(cluster, 0, &declared).await.expect("is taken");
                 let revision = done["revision"].as_u64().expect("has a revision");
-                cluster.in_force(revision).await.expect("in force");
+                cluster.wait_for_revision(revision).await.expect("in force");
                 acknowledged(&workload, 15).await;
             }
             is_clean(workload).await;
@@ -377,7 +377,7 @@
                 owning += dump["groups"].as_array().map_or(0, Vec::len);
             }
             expect_that!(owning, eq(1));
-            until(
+            wait_until(
                 "boxes that own nothing have closed their connections",
                 async || {
                     let mut idle = 0;
--- a/tests/system/support.rs
+++ b/tests/system/support.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use larkfall::trial::cluster::{Cluster, Shape, until};
+use larkfall::trial::cluster::{Cluster, Shape, wait_until};
 use larkfall::trial::journal::Verdict;
 use larkfall::trial::workload::{Mix, Workload, create_tables};
 use tokio::task::LocalSet;
@@ -43,15 +43,15 @@
     let mut client = cluster.connect(0, group, None).await.expect("connects");
     create_tables(&mut client).await.expect("creates");
     let boxes = (0..cluster.boxes.len()).map(|i| cluster.sql_address(i));
-    let (partner, group) = cluster.group_name(group);
+    let (partner, group) = cluster.split_group_name(group);
     Workload::start(boxes.collect(), partner, group, &Mix::default())
 }
 
 /// Waits until `count` more writes were acknowledged.
 pub async fn acknowledged(workload: &Workload, count: usize) {
-    let goal = workload.journal.borrow().acks.len() + count;
-    until("writes are acknowledged", async || {
-        workload.journal.borrow().acks.len() >= goal
+    let goal = workload.journal.borrow().acknowledged_at.len() + count;
+    wait_until("writes are acknowledged", async || {
+        workload.journal.borrow().acknowledged_at.len() >= goal
     })
     .await
     .expect("writes go on");
