--- a/examples/failover.rs
+++ b/examples/failover.rs
@@ -61,10 +61,12 @@
         .unwrap_or_default();
     let replacements = cluster.counter("larkfall_replacements_total").await;
     for member in 1..3 {
-        cluster.set_faults(0, member, &cluster.no_faults()).await?;
+        cluster
+            .set_faults(0, member, &cluster.default_faults())
+            .await?;
     }
     if kind != "killed" {
-        cluster.set_faults(0, 0, &cluster.no_faults()).await?;
+        cluster.set_faults(0, 0, &cluster.default_faults()).await?;
     }
     let (verdict, _) = workload.finish().await?;
     Ok(Outcome {
@@ -75,7 +77,7 @@
 }
 
 async fn fail(cluster: &mut Cluster, kind: &str) -> anyhow::Result<()> {
-    let mut faults = cluster.no_faults();
+    let mut faults = cluster.default_faults();
     match kind {
         "killed" => {
             cluster.members[0][0].handle.kill();
--- a/examples/replicas.rs
+++ b/examples/replicas.rs
@@ -142,10 +142,10 @@
     }
     let deck = r#"kind="deck""#;
     let decks = cluster
-        .counter_with("larkfall_reads_by_replica_total", deck)
+        .counter_with_label("larkfall_reads_by_replica_total", deck)
         .await;
     let decks_by_primary = cluster
-        .counter_with("larkfall_reads_by_primary_total", deck)
+        .counter_with_label("larkfall_reads_by_primary_total", deck)
         .await;
     let replica = cluster.counter("larkfall_reads_by_replica_total").await - replica;
     let primary = cluster.counter("larkfall_reads_by_primary_total").await - primary;
@@ -171,7 +171,7 @@
 }
 
 fn main() -> anyhow::Result<()> {
-    let length = bench::length();
+    let length = bench::duration();
     let runtime = bench::runtime()?;
     let deployments: [fn() -> Deployment; 2] = [
         || Deployment {
--- a/examples/speed.rs
+++ b/examples/speed.rs
@@ -156,5 +156,5 @@
 
 fn main() -> anyhow::Result<()> {
     let runtime = bench::runtime()?;
-    LocalSet::new().block_on(&runtime, measure(bench::length()))
+    LocalSet::new().block_on(&runtime, measure(bench::duration()))
 }
--- a/src/trial.rs
+++ b/src/trial.rs
@@ -1,4 +1,6 @@
-//! Trials on loopback: whole systems of stand-ins and boxes, a workload and a checker.
+//! Runs whole systems of stand-ins and boxes on loopback, with a workload and a checker.
+//!
+//! Used by the demo, the system tests and the examples.
 
 pub mod bench;
 pub mod client;
--- a/src/trial/bench.rs
+++ b/src/trial/bench.rs
@@ -1,4 +1,4 @@
-//! What the measuring programs below `examples/` have in common.
+//! Set-up that the measuring programs in `examples/` share.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 
 const DEFAULT_SECONDS: u64 = 4;
 
-/// Length of a measurement: the first argument in seconds, 4 without one.
-pub fn length() -> Duration {
-    let given = std::env::args().nth(1).and_then(|text| text.parse().ok());
-    Duration::from_secs(given.unwrap_or(DEFAULT_SECONDS))
+/// Returns the duration of a measurement: the first argument in seconds, or the default.
+pub fn duration() -> Duration {
+    let seconds = std::env::args().nth(1).and_then(|text| text.parse().ok());
+    Duration::from_secs(seconds.unwrap_or(DEFAULT_SECONDS))
 }
 
-/// A loop on this thread, as a box has one.
+/// Builds a single-threaded runtime, as a box uses.
 pub fn runtime() -> std::io::Result<Runtime> {
     Builder::new_current_thread().enable_all().build()
 }
--- a/src/trial/client.rs
+++ b/src/trial/client.rs
@@ -1,4 +1,4 @@
-//! A small PostgreSQL client for trials: simple queries, and the session's token.
+//! A small PostgreSQL client for trials that runs simple queries and keeps the session's token.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::postgres::failure::state;
 use crate::postgres::report;
 
-/// Why a query brought no rows.
+/// Why a query failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
     #[error("{code}: {message}")]
@@ -24,18 +24,18 @@
         message: String,
         hint: Option<String>,
     },
-    /// The connection is gone; the outcome is unknown.
+    /// The connection was lost, so the outcome is unknown.
     #[error("connection lost: {0}")]
     Lost(String),
 }
 
 impl ClientError {
-    /// Whether the statement is said to have not run.
+    /// Whether the server reported that the statement did not run.
     pub fn is_not_run(&self) -> bool {
         matches!(self, ClientError::Sql { code, .. } if code == state::NOT_RUN)
     }
 
-    /// SQLSTATE, empty for a lost connection.
+    /// Returns the SQLSTATE, empty for a lost connection.
     pub fn code(&self) -> &str {
         match self {
             ClientError::Sql { code, .. } => code,
@@ -43,14 +43,14 @@
         }
     }
 
-    /// When the server says to come back.
+    /// Returns the delay after which the server asks for a retry.
     pub fn retry_after(&self) -> Option<Duration> {
         let ClientError::Sql { hint, .. } = self else {
             return None;
         };
         let text = hint.as_deref()?.strip_prefix("retry after ")?;
-        let number = text.strip_suffix(" ms")?.parse().ok()?;
-        Some(Duration::from_millis(number))
+        let ms = text.strip_suffix(" ms")?.parse().ok()?;
+        Some(Duration::from_millis(ms))
     }
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// Rows as texts, and the command tag.
+/// The rows of an answer as text, and its command tag.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
     pub rows: Vec<Vec<Option<String>>>,
@@ -68,7 +68,7 @@
 }
 
 impl Answer {
-    /// The first row's first cell as a number.
+    /// Returns the first cell of the first row as a number.
     pub fn number(&self) -> Option<i64> {
         self.rows.first()?.first()?.as_ref()?.parse().ok()
     }
@@ -77,7 +77,7 @@
 /// A connected client.
 pub struct Client {
     channel: Channel,
-    /// Newest token the server reported.
+    /// Newest session token that the server reported.
     pub token: Option<String>,
 }
 
@@ -107,7 +107,7 @@
             channel,
             token: token.map(str::to_owned),
         };
-        client.answer().await?;
+        client.read_answer().await?;
         Ok(client)
     }
 
@@ -116,22 +116,23 @@
         self.channel
             .queue_front(&Front::Query(Query::new(sql.to_owned())))?;
         self.channel.flush().await?;
-        self.answer().await
+        self.read_answer().await
     }
 
-    async fn answer(&mut self) -> Result<Answer, ClientError> {
+    /// Reads messages until the server is ready for the next query.
+    async fn read_answer(&mut self) -> Result<Answer, ClientError> {
         let mut answer = Answer::default();
         let mut failure = None;
         loop {
             match self.channel.read_back().await? {
                 Back::ReadyForQuery(_) => return failure.map_or(Ok(answer), Err),
-                Back::DataRow(row) => answer.rows.push(cells(&row)),
+                Back::DataRow(row) => answer.rows.push(parse_row(&row)),
                 Back::CommandComplete(complete) => answer.tag = complete.tag,
                 Back::ParameterStatus(parameter) if parameter.name == report::TOKEN => {
                     self.token = Some(parameter.value);
                 }
                 Back::ErrorResponse(error) => {
-                    let fatal = field(&error, b'S').as_deref() == Some("FATAL");
+                    let fatal = error_field(&error, b'S').as_deref() == Some("FATAL");
                     let error = sql_error(&error);
                     if fatal {
                         return Err(error);
@@ -144,20 +145,20 @@
     }
 }
 
-fn field(error: &ErrorResponse, kind: u8) -> Option<String> {
-    let found = error.fields.iter().find(|(k, _)| *k == kind);
+fn error_field(error: &ErrorResponse, kind: u8) -> Option<String> {
+    let found = error.fields.iter().find(|(tag, _)| *tag == kind);
     found.map(|(_, value)| value.clone())
 }
 
 fn sql_error(error: &ErrorResponse) -> ClientError {
     ClientError::Sql {
         code: report::code_of(error).to_owned(),
-        message: field(error, b'M').unwrap_or_default(),
-        hint: field(error, b'H'),
+        message: error_field(error, b'M').unwrap_or_default(),
+        hint: error_field(error, b'H'),
     }
 }
 
-fn cells(row: &DataRow) -> Vec<Option<String>> {
+fn parse_row(row: &DataRow) -> Vec<Option<String>> {
     let mut cells = Vec::new();
     let mut rest = &row.data[..];
     for _ in 0..row.field_count {
--- a/src/trial/cluster.rs
+++ b/src/trial/cluster.rs
@@ -1,5 +1,7 @@
-//! A whole system on loopback. Each failure domain has IP numbers of its own, so
-//! that a cut between domains is a cut between prefixes.
+//! Starts and controls a system of members, boxes and a platform on loopback.
+//!
+//! Each failure domain has its own prefix of IP addresses, so faults can cut off whole domains by
+//! prefix.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -24,35 +26,42 @@
 const CONTROL_PORT: u16 = 7432;
 const API_PORT: u16 = 8432;
 const PLATFORM_PORT: u16 = 9432;
-const WAIT: Duration = Duration::from_secs(2);
-const STEP: Duration = Duration::from_millis(2);
-const START: Duration = Duration::from_secs(20);
-const FIRST_MEMBER: u8 = 10;
-const FIRST_BOX: u8 = 100;
-const DOMAINS_A_NET: u8 = 8;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+const FIRST_MEMBER_HOST: u8 = 10;
+const FIRST_BOX_HOST: u8 = 100;
+const DOMAINS_PER_SUBNET: u8 = 8;
 
-static NEXT: AtomicU8 = AtomicU8::new(0);
+static NEXT_SUBNET: AtomicU8 = AtomicU8::new(0);
 
-/// What is to be built.
+/// Size and settings of a cluster.
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub partner: String,
     pub groups: Vec<String>,
     pub domains: u8,
     pub boxes: u8,
+    /// Members per group.
     pub members: u8,
+    /// Replication lag.
     pub lag_ms: u64,
+    /// Time that a statement takes besides the engine's own.
     pub service_ms: u64,
+    /// Number of statements that a member runs at once.
     pub slots: usize,
+    /// Connection limit of a member.
     pub connections: usize,
+    /// Time that a new connection to a member takes.
     pub connect_ms: u64,
-    /// One way between failure domains.
+    /// One-way network delay between failure domains.
     pub delay_ms: u64,
     pub log: Format,
+    /// Interval at which boxes poll the platform.
     pub poll: Duration,
     /// Fields added to every group's declaration.
     pub group_fields: Value,
-    /// Read kinds and once rules of every group: (kind, fields).
+    /// Further resources of every group, such as read kinds and once rules, as (kind, fields).
     pub rules: Vec<(String, Value)>,
 }
 
@@ -78,7 +87,7 @@
     }
 }
 
-/// A box or a member at its place.
+/// A started member, box or platform.
 pub struct Instance {
     pub name: String,
     pub ip: IpAddr,
@@ -89,22 +98,24 @@
 /// A running system.
 pub struct Cluster {
     pub shape: Shape,
-    pub net: (u8, u8),
+    pub subnet: (u8, u8),
     pub http: Http,
     pub boxes: Vec<Instance>,
-    /// By group, then by member.
+    /// Members by the index of their group.
     pub members: Vec<Vec<Instance>>,
     pub platform: Instance,
 }
 
-/// A pair of bytes below which this process's systems put their addresses.
-fn fresh_net() -> (u8, u8) {
+/// Returns the second byte of a cluster's IP addresses, and the third byte of its first domain.
+///
+/// Concurrent processes and the clusters of one process get different subnets.
+fn allocate_subnet() -> (u8, u8) {
     let process = std::process::id() % 200;
-    let trial = NEXT.fetch_add(1, Ordering::Relaxed);
-    (20 + process as u8, (trial % 30) * DOMAINS_A_NET)
+    let cluster = NEXT_SUBNET.fetch_add(1, Ordering::Relaxed);
+    (20 + process as u8, (cluster % 30) * DOMAINS_PER_SUBNET)
 }
 
-/// Token of a partner's operator.
+/// Returns the API token of a partner's operator.
 pub fn operator_token(partner: &str) -> String {
     format!("operator of {partner}")
 }
@@ -114,19 +125,19 @@
 }
 
 impl Cluster {
-    pub fn ip_in(net: (u8, u8), domain: u8, host: u8) -> IpAddr {
-        IpAddr::V4(Ipv4Addr::new(127, net.0, net.1 + domain, host))
+    pub fn host_ip(subnet: (u8, u8), domain: u8, host: u8) -> IpAddr {
+        IpAddr::V4(Ipv4Addr::new(127, subnet.0, subnet.1 + domain, host))
     }
 
-    /// Prefix of a domain's IP numbers, for cuts.
+    /// Returns the prefix of a failure domain's IP addresses, as [`Faults::cut`] takes it.
     pub fn prefix(&self, domain: u8) -> String {
-        format!("127.{}.{}.", self.net.0, self.net.1 + domain)
+        format!("127.{}.{}.", self.subnet.0, self.subnet.1 + domain)
     }
 
-    /// Starts everything, declares it, and waits until every box serves.
+    /// Starts and declares the cluster, and waits until every box serves every group.
     pub async fn start(shape: Shape, host: &dyn Host) -> anyhow::Result<Self> {
-        let net = fresh_net();
-        let platform_ip = Self::ip_in(net, 0, 1);
+        let subnet = allocate_subnet();
+        let platform_ip = Self::host_ip(subnet, 0, 1);
         let platform = Instance {
             name: "platform".to_owned(),
             ip: platform_ip,
@@ -138,7 +149,7 @@
             }),
         };
         let mut cluster = Self {
-            net,
+            subnet,
             http: Http::new(IpAddr::V4(Ipv4Addr::LOCALHOST)),
             boxes: Vec::new(),
             members: Vec::new(),
@@ -152,10 +163,10 @@
             cluster.members.push(members);
         }
         cluster.wait_for_platform().await?;
-        cluster.list_boxes().await?;
-        for i in 0..cluster.shape.boxes {
-            let part = cluster.start_box(host, i);
-            cluster.boxes.push(part);
+        cluster.register_boxes().await?;
+        for index in 0..cluster.shape.boxes {
+            let instance = cluster.start_box(host, index);
+            cluster.boxes.push(instance);
         }
         cluster.declare().await?;
         cluster.wait_until_serving().await?;
@@ -166,7 +177,11 @@
     pub fn member_settings(&self, group: usize, member: u8) -> member::Settings {
         let domain = member % self.shape.domains;
         member::Settings {
-            ip: Self::ip_in(self.net, domain, FIRST_MEMBER + group as u8 * 4 + member),
+            ip: Self::host_ip(
+                self.subnet,
+                domain,
+                FIRST_MEMBER_HOST + group as u8 * 4 + member,
+            ),
             sql_port: SQL_PORT,
             control_port: CONTROL_PORT,
             slots: self.shape.slots,
@@ -188,16 +203,22 @@
         }
     }
 
-    pub fn box_settings(&self, i: u8) -> Run {
-        let domain = i % self.shape.domains;
+    pub fn box_settings(&self, index: u8) -> Run {
+        let domain = index % self.shape.domains;
         Run {
-            name: format!("b{i}").into(),
+            name: format!("b{index}").into(),
             domain: domain_name(domain).into(),
-            ip: Self::ip_in(self.net, domain, FIRST_BOX + i),
+            ip: Self::host_ip(self.subnet, domain, FIRST_BOX_HOST + index),
             port: SQL_PORT,
             api_port: API_PORT,
             platform: format!("{}:{PLATFORM_PORT}", self.platform.ip).into(),
-            peers: vec![format!("{}:{API_PORT}", Self::ip_in(self.net, 0, FIRST_BOX)).into()],
+            peers: vec![
+                format!(
+                    "{}:{API_PORT}",
+                    Self::host_ip(self.subnet, 0, FIRST_BOX_HOST)
+                )
+                .into(),
+            ],
             log: self.shape.log,
             poll: self.shape.poll,
             admin: Some(secret::hash("admin").into()),
@@ -205,12 +226,12 @@
         }
     }
 
-    pub fn start_box(&self, host: &dyn Host, i: u8) -> Instance {
-        let settings = self.box_settings(i);
+    pub fn start_box(&self, host: &dyn Host, index: u8) -> Instance {
+        let settings = self.box_settings(index);
         Instance {
             name: settings.name.to_string(),
             ip: settings.ip,
-            domain: i % self.shape.domains,
+            domain: index % self.shape.domains,
             handle: host.start_box(&settings),
         }
     }
@@ -218,34 +239,37 @@
     async fn wait_for_platform(&self) -> anyhow::Result<()> {
         let address = format!("{}:{PLATFORM_PORT}", self.platform.ip);
         wait_until("the platform answers", async || {
-            self.http.get(&address, "/head", WAIT).await.is_ok()
+            self.http
+                .get(&address, "/head", REQUEST_TIMEOUT)
+                .await
+                .is_ok()
         })
         .await
     }
 
-    /// Tells the platform which boxes there are.
-    pub async fn list_boxes(&self) -> anyhow::Result<()> {
-        let listing = |i: u8| {
-            let settings = self.box_settings(i);
+    /// Registers the boxes with the platform.
+    pub async fn register_boxes(&self) -> anyhow::Result<()> {
+        let entry = |index: u8| {
+            let settings = self.box_settings(index);
             json!({
                 "name": settings.name,
                 "address": format!("{}:{API_PORT}", settings.ip),
                 "domain": settings.domain,
             })
         };
-        let boxes: Vec<Value> = (0..self.shape.boxes).map(listing).collect();
+        let boxes: Vec<Value> = (0..self.shape.boxes).map(entry).collect();
         self.post(&self.platform, PLATFORM_PORT, "/boxes", &json!(boxes))
             .await
     }
 
     async fn post(
         &self,
-        part: &Instance,
+        instance: &Instance,
         port: u16,
         path: &str,
         body: &Value,
     ) -> anyhow::Result<()> {
-        let address = format!("{}:{port}", part.ip);
+        let address = format!("{}:{port}", instance.ip);
         let call = Call {
             method: Method::POST,
             address: &address,
@@ -253,20 +277,20 @@
             bearer: None,
             headers: vec![("content-type", "application/json".to_owned())],
             body: body.to_string().into_bytes(),
-            wait: WAIT,
+            wait: REQUEST_TIMEOUT,
         };
         self.http.call(call).await.map_err(|error| anyhow!(error))?;
         Ok(())
     }
 
-    /// Partner and name of a group, which is written `PARTNER/NAME` or `NAME`.
+    /// Splits `PARTNER/NAME` into partner and name. Without a partner, the shape's partner is used.
     pub fn split_group_name<'a>(&'a self, group: &'a str) -> (&'a str, &'a str) {
         group
             .split_once('/')
             .unwrap_or((&self.shape.partner, group))
     }
 
-    /// All partners of the shape.
+    /// Returns the partners of all groups.
     pub fn partners(&self) -> BTreeSet<String> {
         let groups = self.shape.groups.iter();
         groups
@@ -274,7 +298,7 @@
             .collect()
     }
 
-    /// One partner's declarations, as the apply endpoint takes them.
+    /// Returns the resources of a partner's groups, as the apply endpoint takes them.
     pub fn declarations(&self, partner: &str) -> Vec<Value> {
         let mut resources = Vec::new();
         for (g, group) in self.shape.groups.iter().enumerate() {
@@ -288,7 +312,7 @@
                 "slots": self.shape.slots,
                 "connections": self.shape.connections,
             });
-            merge(&mut spec, &self.shape.group_fields);
+            insert_fields(&mut spec, &self.shape.group_fields);
             resources.push(json!({ "kind": "group", "spec": spec }));
             for (m, member) in self.members[g].iter().enumerate() {
                 let spec = json!({
@@ -303,7 +327,7 @@
             }
             for (kind, fields) in &self.shape.rules {
                 let mut spec = json!({ "partner": partner, "group": group });
-                merge(&mut spec, fields);
+                insert_fields(&mut spec, fields);
                 resources.push(json!({ "kind": kind, "spec": spec }));
             }
         }
@@ -317,30 +341,30 @@
                 "operator": secret::hash(&operator_token(&partner)),
             });
             let resource = vec![json!({ "kind": "partner", "spec": spec })];
-            self.apply_until("admin", &resource).await?;
+            self.apply_with_retries("admin", &resource).await?;
             let resources = self.declarations(&partner);
-            self.apply_until(&operator_token(&partner), &resources)
+            self.apply_with_retries(&operator_token(&partner), &resources)
                 .await?;
         }
         Ok(())
     }
 
-    /// Applies as soon as the first box takes it.
-    async fn apply_until(&self, token: &str, resources: &[Value]) -> anyhow::Result<()> {
-        wait_until("the first box takes declarations", async || {
+    /// Applies resources to the first box, and retries until the box accepts them.
+    async fn apply_with_retries(&self, token: &str, resources: &[Value]) -> anyhow::Result<()> {
+        wait_until("the first box accepts declarations", async || {
             self.apply(0, token, resources).await.is_ok()
         })
         .await
     }
 
-    /// Sends declarations to one box.
+    /// Applies resources through the API of a box.
     pub async fn apply(
         &self,
-        i: usize,
+        index: usize,
         token: &str,
         resources: &[Value],
     ) -> Result<Value, crate::http::HttpError> {
-        let address = self.api_address(i);
+        let address = self.api_address(index);
         let body = json!({ "resources": resources });
         let call = Call {
             method: Method::POST,
@@ -355,15 +379,15 @@
         Ok(serde_json::from_slice(&bytes).unwrap_or_default())
     }
 
-    pub fn api_address(&self, i: usize) -> String {
-        format!("{}:{API_PORT}", self.boxes[i].ip)
+    pub fn api_address(&self, index: usize) -> String {
+        format!("{}:{API_PORT}", self.boxes[index].ip)
     }
 
     async fn wait_until_serving(&self) -> anyhow::Result<()> {
-        for i in 0..self.boxes.len() {
+        for index in 0..self.boxes.len() {
             for group in &self.shape.groups {
                 wait_until("a box serves", async || {
-                    let Ok(mut client) = self.connect(i, group, None).await else {
+                    let Ok(mut client) = self.connect(index, group, None).await else {
                         return false;
                     };
                     client.query("SELECT 1").await.is_ok()
@@ -374,35 +398,35 @@
         Ok(())
     }
 
-    pub fn sql_address(&self, i: usize) -> SocketAddr {
-        SocketAddr::new(self.boxes[i].ip, SQL_PORT)
+    pub fn sql_address(&self, index: usize) -> SocketAddr {
+        SocketAddr::new(self.boxes[index].ip, SQL_PORT)
     }
 
-    /// Connects to a box.
+    /// Connects a client to a group through a box.
     pub async fn connect(
         &self,
-        i: usize,
+        index: usize,
         group: &str,
         token: Option<&str>,
     ) -> Result<Client, ClientError> {
         let (partner, group) = self.split_group_name(group);
-        Client::connect(self.sql_address(i), partner, group, token).await
+        Client::connect(self.sql_address(index), partner, group, token).await
     }
 
-    /// Switches a member's faults.
+    /// Replaces the faults of a member.
     pub async fn set_faults(
         &self,
         group: usize,
         member: usize,
         faults: &Faults,
     ) -> anyhow::Result<()> {
-        let part = &self.members[group][member];
-        self.post(part, CONTROL_PORT, "/faults", &json!(faults))
+        let instance = &self.members[group][member];
+        self.post(instance, CONTROL_PORT, "/faults", &json!(faults))
             .await
     }
 
-    /// The faults of a member that has none but the shape's delay.
-    pub fn no_faults(&self) -> Faults {
+    /// Returns the faults of a healthy member: only the shape's network delay.
+    pub fn default_faults(&self) -> Faults {
         Faults {
             delay_ms: self.shape.delay_ms,
             ..Faults::default()
@@ -415,66 +439,75 @@
         }
         for group in 0..self.members.len() {
             for member in 0..self.members[group].len() {
-                self.set_faults(group, member, &self.no_faults()).await?;
+                self.set_faults(group, member, &self.default_faults())
+                    .await?;
             }
         }
         Ok(())
     }
 
-    /// Switches the platform's faults.
+    /// Replaces the faults of the platform.
     pub async fn set_platform_faults(&self, faults: &Faults) -> anyhow::Result<()> {
         self.post(&self.platform, PLATFORM_PORT, "/faults", &json!(faults))
             .await
     }
 
-    /// The newest revision of the platform's table.
+    /// Returns the newest revision of the platform's table.
     pub async fn platform_head(&self) -> anyhow::Result<Revision> {
         let address = format!("{}:{PLATFORM_PORT}", self.platform.ip);
-        let body = self.http.get(&address, "/head", WAIT).await;
+        let body = self.http.get(&address, "/head", REQUEST_TIMEOUT).await;
         let body = body.map_err(|error| anyhow!(error))?;
-        serde_json::from_slice(&body).context("the head is a revision")
+        serde_json::from_slice(&body).context("the head is not a revision")
     }
 
-    /// Has the platform's table come back as the copy that was made at a revision.
+    /// Restores the platform's table to its copy of an earlier revision.
     pub async fn restore_platform(&self, revision: Revision) -> anyhow::Result<()> {
         self.post(&self.platform, PLATFORM_PORT, "/restore", &json!(revision))
             .await
     }
 
-    /// A resource as a box shows it; none where it shows none.
-    pub async fn resource(&self, i: usize, token: &str, key: &str) -> Option<Value> {
-        let address = self.api_address(i);
+    /// Returns a resource from the API of a box, `None` if the request fails.
+    pub async fn resource(&self, index: usize, token: &str, key: &str) -> Option<Value> {
+        let address = self.api_address(index);
         let path = format!("/v1/resources/{key}");
         let call = Call {
             bearer: Some(token),
-            ..Call::get(&address, &path, WAIT)
+            ..Call::get(&address, &path, REQUEST_TIMEOUT)
         };
         let body = self.http.call(call).await.ok()?;
         serde_json::from_slice(&body).ok()
     }
 
+    /// Sets the replication lag of a member.
     pub async fn set_lag(&self, group: usize, member: usize, ms: u64) -> anyhow::Result<()> {
-        let part = &self.members[group][member];
-        self.post(part, CONTROL_PORT, "/lag", &json!(ms)).await
+        let instance = &self.members[group][member];
+        self.post(instance, CONTROL_PORT, "/lag", &json!(ms)).await
     }
 
-    /// A box's state.
-    pub async fn dump(&self, i: usize) -> anyhow::Result<Value> {
-        let body = self.http.get(&self.api_address(i), "/dump", WAIT).await;
+    /// Returns the state of a box.
+    pub async fn dump(&self, index: usize) -> anyhow::Result<Value> {
+        let body = self
+            .http
+            .get(&self.api_address(index), "/dump", REQUEST_TIMEOUT)
+            .await;
         let body = body.map_err(|error| anyhow!(error))?;
-        serde_json::from_slice(&body).context("the dump is JSON")
+        serde_json::from_slice(&body).context("the dump is not JSON")
     }
 
-    /// A counter summed over its labels and the boxes that answer.
+    /// Returns a counter, summed over its labels and the boxes that answer.
     pub async fn counter(&self, name: &str) -> f64 {
-        self.counter_with(name, "").await
+        self.counter_with_label(name, "").await
     }
 
-    /// The same, of the lines with this label only, as `kind="deck"`.
-    pub async fn counter_with(&self, name: &str, label: &str) -> f64 {
+    /// Returns a counter, summed over the lines that contain a label such as `kind="deck"`.
+    pub async fn counter_with_label(&self, name: &str, label: &str) -> f64 {
         let mut sum = 0.0;
-        for i in 0..self.boxes.len() {
-            let Ok(body) = self.http.get(&self.api_address(i), "/metrics", WAIT).await else {
+        for index in 0..self.boxes.len() {
+            let Ok(body) = self
+                .http
+                .get(&self.api_address(index), "/metrics", REQUEST_TIMEOUT)
+                .await
+            else {
                 continue;
             };
             let text = String::from_utf8_lossy(&body).into_owned();
@@ -489,21 +522,24 @@
         sum
     }
 
-    /// Reads that the platform has served.
+    /// Returns the number of reads that the platform has served.
     pub async fn platform_reads(&self) -> u64 {
         let address = format!("{}:{PLATFORM_PORT}", self.platform.ip);
-        let body = self.http.get(&address, "/counts", WAIT).await;
+        let body = self.http.get(&address, "/counts", REQUEST_TIMEOUT).await;
         let counts = body
             .ok()
             .and_then(|body| serde_json::from_slice::<(u64, u64)>(&body).ok());
         counts.unwrap_or_default().0
     }
 
-    /// Waits until every box has a revision in force.
+    /// Waits until every box has applied a revision or a later one.
     pub async fn wait_for_revision(&self, revision: u64) -> anyhow::Result<()> {
-        for i in 0..self.boxes.len() {
-            wait_until("the revision is in force", async || {
-                let dump = self.http.get(&self.api_address(i), "/revision", WAIT).await;
+        for index in 0..self.boxes.len() {
+            wait_until("the box has applied the revision", async || {
+                let dump = self
+                    .http
+                    .get(&self.api_address(index), "/revision", REQUEST_TIMEOUT)
+                    .await;
                 let found = dump
                     .ok()
                     .and_then(|body| serde_json::from_slice::<u64>(&body).ok());
@@ -514,41 +550,41 @@
         Ok(())
     }
 
-    /// Which member leads the group, by what an owner knows.
+    /// Returns the index of a group's primary in the highest term that a box reports.
     pub async fn primary(&self, group: usize) -> Option<usize> {
         let (partner, name) = self.split_group_name(&self.shape.groups[group]);
         let id = format!("{partner}/{name}");
-        let mut best: (u64, Option<usize>) = (0, None);
-        for i in 0..self.boxes.len() {
-            let Ok(dump) = self.dump(i).await else {
+        let mut newest: (u64, Option<usize>) = (0, None);
+        for index in 0..self.boxes.len() {
+            let Ok(dump) = self.dump(index).await else {
                 continue;
             };
             for found in dump["groups"].as_array().into_iter().flatten() {
                 let term = found["term"].as_u64().unwrap_or_default();
-                if found["id"] == id.as_str() && term > best.0 {
+                if found["id"] == id.as_str() && term > newest.0 {
                     let name = found["primary"].as_str().unwrap_or_default();
-                    best = (term, name.strip_prefix('m').and_then(|n| n.parse().ok()));
+                    newest = (term, name.strip_prefix('m').and_then(|n| n.parse().ok()));
                 }
             }
         }
-        best.1
+        newest.1
     }
 }
 
-fn merge(into: &mut Value, fields: &Value) {
+fn insert_fields(spec: &mut Value, fields: &Value) {
     for (name, value) in fields.as_object().into_iter().flatten() {
-        into[name] = value.clone();
+        spec[name] = value.clone();
     }
 }
 
-/// Waits until something holds.
-pub async fn wait_until(what: &str, holds: impl AsyncFn() -> bool) -> anyhow::Result<()> {
-    let end = tokio::time::Instant::now() + START;
-    while tokio::time::Instant::now() < end {
-        if holds().await {
+/// Waits until a condition holds. `what` names the condition in the error of a timeout.
+pub async fn wait_until(what: &str, condition: impl AsyncFn() -> bool) -> anyhow::Result<()> {
+    let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
+    while tokio::time::Instant::now() < deadline {
+        if condition().await {
             return Ok(());
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(anyhow!("waited in vain until {what}"))
+    Err(anyhow!("timed out waiting until {what}"))
 }
--- a/src/trial/host.rs
+++ b/src/trial/host.rs
@@ -1,7 +1,7 @@
-//! Starts stand-ins and boxes on threads of this process, each with its own loop.
+//! Starts stand-ins and boxes on threads of this process, each with its own runtime.
 //!
-//! Stopping one drops its loop with all its sockets, which callers see as they
-//! would see a killed process.
+//! Killing a thread drops its runtime with all sockets, so callers see the same as with a killed
+//! process.
 
 use std::thread::JoinHandle;
 
@@ -16,28 +16,28 @@
 use crate::standin::ports;
 use crate::standin::{member, platform};
 
-/// Something that runs and can be ended.
+/// Controls a started member, platform or box.
 pub trait Handle {
-    /// Ends it at once, as a kill would.
+    /// Ends the instance at once, as SIGKILL ends a process.
     fn kill(&mut self);
-    /// Asks it to stop in good order and waits until it has.
+    /// Shuts the instance down gracefully and waits for its end.
     fn stop(&mut self);
-    /// Its process.
+    /// Returns the id of the process that runs the instance.
     fn process_id(&self) -> u32 {
         std::process::id()
     }
-    /// Has it do nothing at all, or go on. Threads of this process can't be frozen.
+    /// Suspends or resumes the instance. Does nothing for threads, which can't be suspended.
     fn set_frozen(&mut self, _frozen: bool) {}
 }
 
-/// Starts things. Tests start processes, the demo starts threads.
+/// Starts instances. The tests start processes, the demo starts threads.
 pub trait Host {
     fn start_member(&self, settings: &member::Settings) -> Box<dyn Handle>;
     fn start_platform(&self, settings: &platform::Settings) -> Box<dyn Handle>;
     fn start_box(&self, settings: &Run) -> Box<dyn Handle>;
 }
 
-/// Starts threads.
+/// Starts instances as threads of this process.
 #[derive(Default)]
 pub struct Threads {
     pub decisions: Settings,
@@ -46,7 +46,7 @@
 struct Thread {
     kill: Option<oneshot::Sender<()>>,
     stop: Option<watch::Sender<bool>>,
-    handle: Option<JoinHandle<()>>,
+    join_handle: Option<JoinHandle<()>>,
 }
 
 impl Thread {
@@ -59,31 +59,31 @@
     {
         let (kill, killed) = oneshot::channel::<()>();
         let (stop, stopped) = watch::channel(false);
-        let body = move || {
+        let run_thread = move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()
                 .expect("a runtime can be built");
             let local = LocalSet::new();
             local.block_on(&runtime, async move {
-                let work = run(stopped);
+                let task = run(stopped);
                 tokio::select! {
-                    ended = work => if let Err(error) = ended { eprintln!("{error:#}") },
+                    result = task => if let Err(error) = result { eprintln!("{error:#}") },
                     _ = killed => {}
                 }
             });
         };
-        let handle = std::thread::Builder::new().name(name).spawn(body);
+        let handle = std::thread::Builder::new().name(name).spawn(run_thread);
         let handle = handle.expect("a thread can be started");
         Box::new(Self {
             kill: Some(kill),
             stop: Some(stop),
-            handle: Some(handle),
+            join_handle: Some(handle),
         })
     }
 
     fn join(&mut self) {
-        if let Some(handle) = self.handle.take() {
+        if let Some(handle) = self.join_handle.take() {
             let _ = handle.join();
         }
     }
--- a/src/trial/journal.rs
+++ b/src/trial/journal.rs
@@ -1,51 +1,57 @@
-//! What a workload's sessions saw, and the checker that compares it with what is there.
+//! Records what a workload's sessions observed, and checks the records against the final rows.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// Everything the sessions noted, in the order in which they noted it.
+/// The observations of all sessions of a workload.
 #[derive(Debug, Default)]
 pub struct Journal {
+    /// Ids of acknowledged writes.
     pub acknowledged: BTreeSet<String>,
+    /// Ids of writes that were reported as not run.
     pub refused: BTreeSet<String>,
+    /// Ids of writes with an unknown outcome.
     pub unknown: BTreeSet<String>,
-    /// Keys of sales that were acknowledged.
+    /// Keys of acknowledged sales.
     pub sold: BTreeSet<String>,
+    /// Reads that missed an acknowledged write of the same session.
     pub stale_own_reads: u64,
+    /// Reads that were older than an earlier read of the same session.
     pub backward_reads: u64,
-    /// Answers that can't belong to the request.
+    /// Answers that belong to another request.
     pub foreign_answers: u64,
     pub reads: u64,
     pub writes: u64,
-    /// Moments of acknowledgement, since the start.
+    /// Times of acknowledgements, since the start of the workload.
     pub acknowledged_at: Vec<Duration>,
-    /// SQLSTATEs met, and how often.
+    /// Number of errors by SQLSTATE, or `lost` for a lost connection.
     pub errors: BTreeMap<String, u64>,
 }
 
-/// The checker's counts. All zero is good.
+/// Number of violations by kind. All are zero in a correct run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
     pub lost_acknowledged_writes: u64,
     pub double_runs: u64,
     pub stale_own_reads: u64,
     pub backward_reads: u64,
+    /// Writes that ran although they were reported as not run.
     pub ran_though_refused: u64,
     pub foreign_answers: u64,
 }
 
 impl Journal {
-    /// Longest time without an acknowledgement that ends after `since`.
+    /// Returns the longest time without an acknowledgement that ends at or after `since`.
     pub fn gap_after(&self, since: Duration) -> Option<Duration> {
-        let mut acks = self.acknowledged_at.clone();
-        acks.sort_unstable();
-        let pairs = acks.windows(2).filter(|pair| pair[1] >= since);
+        let mut times = self.acknowledged_at.clone();
+        times.sort_unstable();
+        let pairs = times.windows(2).filter(|pair| pair[1] >= since);
         pairs.map(|pair| pair[1] - pair[0]).max()
     }
 
-    /// Compares what was noted with the rows that are there in the end.
+    /// Compares the records with the ids and the sale keys of the final rows.
     pub fn check(&self, present: &[String], sales: &[String]) -> Verdict {
         let rows: BTreeSet<&String> = present.iter().collect();
         let sold: BTreeSet<&String> = sales.iter().collect();
--- a/src/trial/sample.rs
+++ b/src/trial/sample.rs
@@ -1,8 +1,8 @@
-//! Measured values and their quantiles.
+//! Measured durations and their quantiles.
 
 use std::time::Duration;
 
-/// Measured durations.
+/// A sample of measured durations.
 #[derive(Clone, Debug, Default)]
 pub struct Sample {
     values: Vec<Duration>,
@@ -25,7 +25,7 @@
         self.values.is_empty()
     }
 
-    /// The value below which this share of all lies.
+    /// Returns the value at a quantile, rounded up to the next measured value.
     pub fn quantile(&self, share: f64) -> Duration {
         let mut sorted = self.values.clone();
         sorted.sort_unstable();
@@ -34,7 +34,7 @@
         sorted.get(index.min(last)).copied().unwrap_or_default()
     }
 
-    /// Median, 99th hundredth and greatest, in milliseconds.
+    /// Formats the median, the 99th percentile and the maximum in milliseconds.
     pub fn summary(&self) -> String {
         let ms = |share| self.quantile(share).as_secs_f64() * 1_000.0;
         format!(
--- a/src/trial/usage.rs
+++ b/src/trial/usage.rs
@@ -1,13 +1,13 @@
-//! What threads and the loopback cost, read from the kernel's own counts.
+//! Processor time, memory and loopback traffic, read from `/proc`.
 
 use std::fs;
 use std::time::Duration;
 
-/// Kernel ticks a second, the unit of `/proc`.
-const TICKS: u64 = 100;
+/// Unit of the times in `/proc/*/stat`.
+const TICKS_PER_SECOND: u64 = 100;
 const PAGE_BYTES: u64 = 4096;
 
-/// Processor time of this process's threads whose name starts with `prefix`.
+/// Returns the processor time of this process's threads whose name starts with `prefix`.
 pub fn thread_cpu_time(prefix: &str) -> Duration {
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
         return Duration::ZERO;
@@ -16,19 +16,20 @@
     for task in tasks.flatten() {
         let read = |file: &str| fs::read_to_string(task.path().join(file)).unwrap_or_default();
         if read("comm").starts_with(prefix) {
-            total += precise(&read("schedstat")).unwrap_or_else(|| ticks(&read("stat")));
+            total += schedstat_time(&read("schedstat")).unwrap_or_else(|| stat_time(&read("stat")));
         }
     }
     total
 }
 
-/// Time on the processor in nanoseconds, where the kernel keeps it.
-fn precise(text: &str) -> Option<Duration> {
+/// Parses the processor time in a `schedstat` file, `None` where the kernel doesn't count it.
+fn schedstat_time(text: &str) -> Option<Duration> {
     let nanoseconds = text.split_whitespace().next()?.parse().ok()?;
     Some(Duration::from_nanos(nanoseconds))
 }
 
-fn ticks(stat: &str) -> Duration {
+/// Parses the user and system time in a `stat` file.
+fn stat_time(stat: &str) -> Duration {
     let after_name = stat.rsplit(')').next().unwrap_or_default();
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     let field = |i: usize| {
@@ -37,10 +38,10 @@
             .and_then(|f| f.parse::<u64>().ok())
             .unwrap_or(0)
     };
-    Duration::from_millis((field(11) + field(12)) * 1_000 / TICKS)
+    Duration::from_millis((field(11) + field(12)) * 1_000 / TICKS_PER_SECOND)
 }
 
-/// Bytes that passed the loopback since the machine started, headers included.
+/// Returns the bytes received on the loopback since the machine started, headers included.
 pub fn loopback_bytes() -> u64 {
     let text = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text
@@ -53,7 +54,7 @@
         .unwrap_or_default()
 }
 
-/// Resident memory of this process, in bytes.
+/// Returns the resident memory of this process.
 pub fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
--- a/src/trial/workload.rs
+++ b/src/trial/workload.rs
@@ -1,4 +1,4 @@
-//! Concurrent sessions that write, read their own writes, press twice and roam.
+//! Concurrent sessions that write, read their own writes, repeat sales and switch boxes.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -12,19 +12,19 @@
 use super::journal::{Journal, Verdict};
 use crate::postgres::failure::state;
 
-const PAUSE: Duration = Duration::from_millis(5);
-const PRESSES: u32 = 3;
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
+const SALE_ATTEMPTS: u32 = 3;
 
-/// What the sessions do.
+/// The mix of operations that the sessions run. All other operations are reads.
 #[derive(Clone, Debug)]
 pub struct Mix {
     pub sessions: u32,
-    /// Of a hundred operations.
-    pub writes: u32,
-    pub sales: u32,
-    pub roams: u32,
-    /// Time a session thinks between two operations.
-    pub think: Duration,
+    pub write_percent: u32,
+    pub sale_percent: u32,
+    /// Share of operations that disconnect and continue on another box.
+    pub switch_percent: u32,
+    /// Pause of a session between two operations.
+    pub think_time: Duration,
     pub seed: u64,
 }
 
@@ -32,16 +32,16 @@
     fn default() -> Self {
         Self {
             sessions: 8,
-            writes: 15,
-            sales: 3,
-            roams: 3,
-            think: Duration::from_millis(2),
+            write_percent: 15,
+            sale_percent: 3,
+            switch_percent: 3,
+            think_time: Duration::from_millis(2),
             seed: 1,
         }
     }
 }
 
-/// A workload under way.
+/// A running workload.
 pub struct Workload {
     pub journal: Rc<RefCell<Journal>>,
     start: Instant,
@@ -92,13 +92,13 @@
             group: self.group.clone(),
             student,
             mix: mix.clone(),
-            dice: SmallRng::seed_from_u64(mix.seed * 1_000 + u64::from(student)),
-            at: student as usize,
+            rng: SmallRng::seed_from_u64(mix.seed * 1_000 + u64::from(student)),
+            box_index: student as usize,
             token: None,
             sequence: 0,
             sales: 0,
-            acknowledged: 0,
-            seen: 0,
+            last_acknowledged: 0,
+            highest_read: 0,
         }
     }
 
@@ -106,29 +106,29 @@
         self.start.elapsed()
     }
 
-    /// Stops the sessions and compares what they saw with what is there.
+    /// Stops the sessions and checks their observations against the final rows.
     pub async fn finish(self) -> Result<(Verdict, Rc<RefCell<Journal>>), ClientError> {
         self.stop.set(true);
         for task in self.tasks {
             let _ = task.await;
         }
-        let mut tries = 0;
+        let mut attempts = 0;
         let (present, sales) = loop {
-            let at = self.boxes[tries % self.boxes.len()];
-            match read_all(at, &self.partner, &self.group).await {
+            let at = self.boxes[attempts % self.boxes.len()];
+            match read_final_rows(at, &self.partner, &self.group).await {
                 Ok(found) => break found,
-                Err(error) if tries > 200 => return Err(error),
-                Err(_) => tokio::time::sleep(PAUSE * 10).await,
+                Err(error) if attempts > 200 => return Err(error),
+                Err(_) => tokio::time::sleep(RETRY_PAUSE * 10).await,
             }
-            tries += 1;
+            attempts += 1;
         };
         let verdict = self.journal.borrow().check(&present, &sales);
         Ok((verdict, self.journal))
     }
 }
 
-/// All rows, read in a transaction on the primary.
-async fn read_all(
+/// Reads the ids of all answers and the keys of all sales in a transaction on the primary.
+async fn read_final_rows(
     at: SocketAddr,
     partner: &str,
     group: &str,
@@ -138,11 +138,11 @@
     let answers = client.query("SELECT id FROM answer").await?;
     let sales = client.query("SELECT key FROM sale").await?;
     client.query("COMMIT").await?;
-    let first = |rows: Vec<Vec<Option<String>>>| {
+    let first_cells = |rows: Vec<Vec<Option<String>>>| {
         let cells = rows.into_iter().filter_map(|row| row.into_iter().next()?);
         cells.collect::<Vec<String>>()
     };
-    Ok((first(answers.rows), first(sales.rows)))
+    Ok((first_cells(answers.rows), first_cells(sales.rows)))
 }
 
 struct Session {
@@ -152,65 +152,66 @@
     boxes: Rc<[SocketAddr]>,
     partner: Rc<str>,
     group: Rc<str>,
+    /// Number of the session, stored in its rows.
     student: u32,
     mix: Mix,
-    dice: SmallRng,
-    at: usize,
+    rng: SmallRng,
+    box_index: usize,
     token: Option<String>,
     sequence: u64,
     sales: u64,
-    /// Highest own write that was acknowledged.
-    acknowledged: i64,
-    /// Highest own write that was read.
-    seen: i64,
+    /// Sequence number of the last acknowledged write.
+    last_acknowledged: i64,
+    /// Highest sequence number that was read.
+    highest_read: i64,
 }
 
 impl Session {
     async fn run(mut self) {
         while !self.stop.get() {
             let Ok(mut client) = self.connect().await else {
-                self.at += 1;
-                tokio::time::sleep(PAUSE).await;
+                self.box_index += 1;
+                tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
             };
             while !self.stop.get() {
-                tokio::time::sleep(self.mix.think).await;
-                match self.step(&mut client).await {
+                tokio::time::sleep(self.mix.think_time).await;
+                match self.run_operation(&mut client).await {
                     Ok(()) => {}
-                    Err(Next::Again(pause)) => tokio::time::sleep(pause).await,
-                    Err(Next::Roam) => break,
+                    Err(NextStep::Retry(pause)) => tokio::time::sleep(pause).await,
+                    Err(NextStep::SwitchBox) => break,
                 }
             }
             self.token = client.token.take().or(self.token.take());
-            self.at += 1;
+            self.box_index += 1;
         }
     }
 
     async fn connect(&mut self) -> Result<Client, ClientError> {
-        let at = self.boxes[self.at % self.boxes.len()];
-        // One in four comes without its token: the floor is then unknown.
-        let token = match self.dice.random_range(0..4) {
+        let at = self.boxes[self.box_index % self.boxes.len()];
+        // One in four connections has no token, so the session's floor is unknown to the box.
+        let token = match self.rng.random_range(0..4) {
             0 => None,
             _ => self.token.clone(),
         };
         Client::connect(at, &self.partner, &self.group, token.as_deref()).await
     }
 
-    async fn step(&mut self, client: &mut Client) -> Result<(), Next> {
-        let roll = self.dice.random_range(0..100);
-        if roll < self.mix.writes {
+    async fn run_operation(&mut self, client: &mut Client) -> Result<(), NextStep> {
+        let draw = self.rng.random_range(0..100);
+        if draw < self.mix.write_percent {
             return self.write(client).await;
         }
-        if roll < self.mix.writes + self.mix.sales {
+        if draw < self.mix.write_percent + self.mix.sale_percent {
             return self.sell(client).await;
         }
-        if roll < self.mix.writes + self.mix.sales + self.mix.roams {
-            return Err(Next::Roam);
+        if draw < self.mix.write_percent + self.mix.sale_percent + self.mix.switch_percent {
+            return Err(NextStep::SwitchBox);
         }
         self.read(client).await
     }
 
-    async fn write(&mut self, client: &mut Client) -> Result<(), Next> {
+    async fn write(&mut self, client: &mut Client) -> Result<(), NextStep> {
         self.sequence += 1;
         let (student, sequence) = (self.student, self.sequence);
         let id = format!("{student}-{sequence}");
@@ -223,7 +224,7 @@
                 journal.foreign_answers += u64::from(answer.tag != "INSERT 0 1");
                 journal.acknowledged.insert(id);
                 journal.acknowledged_at.push(self.start.elapsed());
-                self.acknowledged = sequence as i64;
+                self.last_acknowledged = sequence as i64;
                 Ok(())
             }
             Err(error) => {
@@ -231,18 +232,18 @@
                     true => journal.refused.insert(id),
                     false => journal.unknown.insert(id),
                 };
-                Err(note(&mut journal, &error))
+                Err(record_error(&mut journal, &error))
             }
         }
     }
 
-    async fn read(&mut self, client: &mut Client) -> Result<(), Next> {
+    async fn read(&mut self, client: &mut Client) -> Result<(), NextStep> {
         let student = self.student;
         let sql = format!("SELECT {student}, max(seq) FROM answer WHERE student = {student}");
         let answer = client.query(&sql).await;
         let mut journal = self.journal.borrow_mut();
         journal.reads += 1;
-        let answer = answer.map_err(|error| note(&mut journal, &error))?;
+        let answer = answer.map_err(|error| record_error(&mut journal, &error))?;
         let cell = |i: usize| answer.rows.first().and_then(|row| row.get(i)?.clone());
         if cell(0) != Some(student.to_string()) {
             journal.foreign_answers += 1;
@@ -250,66 +251,74 @@
         let found: i64 = cell(1)
             .and_then(|text| text.parse().ok())
             .unwrap_or_default();
-        if found < self.acknowledged {
+        if found < self.last_acknowledged {
             journal.stale_own_reads += 1;
         }
-        if found < self.seen {
+        if found < self.highest_read {
             journal.backward_reads += 1;
         }
-        self.seen = self.seen.max(found);
+        self.highest_read = self.highest_read.max(found);
         Ok(())
     }
 
-    /// Presses the same sale several times, on several boxes.
-    async fn sell(&mut self, client: &mut Client) -> Result<(), Next> {
+    /// Sends the same sale several times, to several boxes. It must run at most once.
+    async fn sell(&mut self, client: &mut Client) -> Result<(), NextStep> {
         self.sales += 1;
         let key = format!("sale-{}-{}", self.student, self.sales);
         let mut next = Ok(());
-        for press in 0..PRESSES {
-            let id = format!("{key}-{press}");
+        for attempt in 0..SALE_ATTEMPTS {
+            let id = format!("{key}-{attempt}");
             let sql =
                 format!("/* larkfall: once={key} */ INSERT INTO sale VALUES ('{id}', '{key}')");
-            let answer = match press {
+            let answer = match attempt {
                 0 => client.query(&sql).await,
-                _ => self.press_elsewhere(&sql, press).await,
+                _ => self.sell_on_other_box(&sql, attempt).await,
             };
             let mut journal = self.journal.borrow_mut();
             match answer {
                 Ok(_) => {
                     journal.sold.insert(key.clone());
                 }
-                Err(error) => next = Err(note(&mut journal, &error)),
+                Err(error) => next = Err(record_error(&mut journal, &error)),
             }
         }
         next
     }
 
-    async fn press_elsewhere(
+    async fn sell_on_other_box(
         &self,
         sql: &str,
-        press: u32,
+        attempt: u32,
     ) -> Result<super::client::Answer, ClientError> {
-        let at = self.boxes[(self.at + press as usize) % self.boxes.len()];
+        let at = self.boxes[(self.box_index + attempt as usize) % self.boxes.len()];
         let mut client = Client::connect(at, &self.partner, &self.group, None).await?;
         client.query(sql).await
     }
 }
 
-/// What a session does after an error.
-enum Next {
-    Again(Duration),
-    Roam,
+/// What a session does next after an error.
+enum NextStep {
+    /// Continues on the same connection after a pause.
+    Retry(Duration),
+    /// Connects to the next box.
+    SwitchBox,
 }
 
-fn note(journal: &mut Journal, error: &ClientError) -> Next {
+/// Counts an error and decides how the session goes on.
+fn record_error(journal: &mut Journal, error: &ClientError) -> NextStep {
     let code = match error {
         ClientError::Lost(_) => "lost".to_owned(),
         ClientError::Sql { code, .. } => code.clone(),
     };
     *journal.errors.entry(code).or_default() += 1;
     match error {
-        ClientError::Lost(_) => Next::Roam,
-        _ if error.code() == state::UNKNOWN => Next::Again(PAUSE),
-        _ => Next::Again(error.retry_after().unwrap_or(PAUSE).min(PAUSE * 20)),
+        ClientError::Lost(_) => NextStep::SwitchBox,
+        _ if error.code() == state::UNKNOWN => NextStep::Retry(RETRY_PAUSE),
+        _ => NextStep::Retry(
+            error
+                .retry_after()
+                .unwrap_or(RETRY_PAUSE)
+                .min(RETRY_PAUSE * 20),
+        ),
     }
 }
