--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -1,8 +1,8 @@
-//! The slopes behind docs/CAPACITY.md.
+//! Measures how resource usage grows with the size of a system, for docs/CAPACITY.md.
 //!
-//! `cargo run --release --example capacity -- [PART…]` with the parts groups,
-//! boxes, callers, declarations, changes, storm; all of them without one.
-//! The program itself (`cargo build --release`) must have been built before.
+//! `cargo run --release --example capacity -- [PART…]` with the parts groups, boxes, callers,
+//! declarations, changes and storm. Runs all parts by default. The part callers starts the program
+//! itself, which `cargo build --release` must have built.
 
 #[path = "support/processes.rs"]
 mod processes;
@@ -27,8 +27,8 @@
 use serde_json::json;
 use tokio::task::LocalSet;
 
-const WATCH: Duration = Duration::from_secs(6);
-const POLL: Duration = Duration::from_secs(2);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(6);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 fn groups(count: usize) -> Vec<String> {
     (0..count).map(|i| format!("g{i}")).collect()
@@ -38,69 +38,70 @@
     Shape {
         boxes,
         groups: groups(count),
-        poll: POLL,
+        poll: POLL_INTERVAL,
         ..Shape::default()
     }
 }
 
-/// Control traffic and processor time of idle boxes by groups owned.
-async fn by_groups() -> anyhow::Result<()> {
+/// Measures control traffic and processor time of idle boxes by the number of owned groups.
+async fn measure_groups() -> anyhow::Result<()> {
     println!(
-        "idle boxes by groups: 3 boxes, each owns every group; {} s",
-        WATCH.as_secs()
+        "idle boxes by number of groups: 3 boxes, each owns every group; {} s",
+        MEASUREMENT_TIME.as_secs()
     );
     for count in [1, 2, 4, 8, 16] {
         let mut cluster = Cluster::start(shape(3, count), &Threads::default()).await?;
         tokio::time::sleep(Duration::from_secs(2)).await;
-        let (bytes, time) = (loopback_bytes(), thread_cpu_time("box-"));
+        let (bytes, cpu_time) = (loopback_bytes(), thread_cpu_time("box-"));
         let probes = cluster.counter("larkfall_probes_total").await;
-        tokio::time::sleep(WATCH).await;
-        let (bytes, time) = (loopback_bytes() - bytes, thread_cpu_time("box-") - time);
+        tokio::time::sleep(MEASUREMENT_TIME).await;
+        let (bytes, cpu_time) = (loopback_bytes() - bytes, thread_cpu_time("box-") - cpu_time);
         let probes = cluster.counter("larkfall_probes_total").await - probes;
-        for part in &mut cluster.boxes {
-            part.handle.kill();
+        for instance in &mut cluster.boxes {
+            instance.handle.kill();
         }
         tokio::time::sleep(Duration::from_millis(500)).await;
-        let without = loopback_bytes();
-        tokio::time::sleep(WATCH).await;
-        let without = loopback_bytes() - without;
-        let seconds = WATCH.as_secs_f64();
+        let other_bytes = loopback_bytes();
+        tokio::time::sleep(MEASUREMENT_TIME).await;
+        let other_bytes = loopback_bytes() - other_bytes;
+        let seconds = MEASUREMENT_TIME.as_secs_f64();
         println!(
-            "  {count:3} groups  {:7.0} B/s a box  {:6.3}% of a core a box  {:5.1} probes/s a box",
-            bytes.saturating_sub(without) as f64 / seconds / 3.0,
-            time.as_secs_f64() / seconds / 3.0 * 100.0,
+            "  {count:3} groups  {:7.0} B/s per box  {:6.3}% of a core per box  {:5.1} probes/s per box",
+            bytes.saturating_sub(other_bytes) as f64 / seconds / 3.0,
+            cpu_time.as_secs_f64() / seconds / 3.0 * 100.0,
             probes / seconds / 3.0,
         );
     }
     Ok(())
 }
 
-/// Control traffic of idle boxes by boxes, and the platform's reads.
-async fn by_boxes() -> anyhow::Result<()> {
+/// Measures control traffic of idle boxes and reads of the platform by the number of boxes.
+async fn measure_boxes() -> anyhow::Result<()> {
     println!(
-        "idle boxes by boxes: one group, 3 owners; {} s",
-        WATCH.as_secs()
+        "idle boxes by number of boxes: one group, 3 owners; {} s",
+        MEASUREMENT_TIME.as_secs()
     );
     for boxes in [3, 6, 12, 24, 48] {
         let cluster = Cluster::start(shape(boxes, 1), &Threads::default()).await?;
         tokio::time::sleep(Duration::from_secs(3)).await;
-        let (bytes, time) = (loopback_bytes(), thread_cpu_time("box-"));
+        let (bytes, cpu_time) = (loopback_bytes(), thread_cpu_time("box-"));
         let reads = cluster.platform_reads().await;
-        tokio::time::sleep(WATCH).await;
-        let (bytes, time) = (loopback_bytes() - bytes, thread_cpu_time("box-") - time);
+        tokio::time::sleep(MEASUREMENT_TIME).await;
+        let (bytes, cpu_time) = (loopback_bytes() - bytes, thread_cpu_time("box-") - cpu_time);
         let reads = cluster.platform_reads().await - reads;
-        let seconds = WATCH.as_secs_f64();
+        let seconds = MEASUREMENT_TIME.as_secs_f64();
         println!(
-            "  {boxes:3} boxes  {:7.0} B/s in all  {:6.3}% of a core a box  platform reads {:6.1}/s",
+            "  {boxes:3} boxes  {:7.0} B/s in total  {:6.3}% of a core per box  platform reads {:6.1}/s",
             bytes as f64 / seconds,
-            time.as_secs_f64() / seconds / f64::from(boxes) * 100.0,
+            cpu_time.as_secs_f64() / seconds / f64::from(boxes) * 100.0,
             reads as f64 / seconds,
         );
     }
     Ok(())
 }
 
-fn resident(pid: u32) -> u64 {
+/// Returns the resident memory of a process.
+fn process_resident_bytes(pid: u32) -> u64 {
     let text = fs::read_to_string(format!("/proc/{pid}/statm")).unwrap_or_default();
     let pages = text
         .split_whitespace()
@@ -109,16 +110,16 @@
     pages.unwrap_or_default() * 4096
 }
 
-/// Processor time of a process with one thread.
-fn processor(pid: u32) -> Duration {
+/// Returns the processor time of a process with one thread.
+fn process_cpu_time(pid: u32) -> Duration {
     let text = fs::read_to_string(format!("/proc/{pid}/schedstat")).unwrap_or_default();
     let time = text.split_whitespace().next().and_then(|t| t.parse().ok());
     Duration::from_nanos(time.unwrap_or_default())
 }
 
-/// Memory of a box, a process of its own, by idle callers.
-async fn by_callers() -> anyhow::Result<()> {
-    println!("one box as a process, idle callers, each after one statement");
+/// Measures the memory of a box in its own process by the number of idle callers.
+async fn measure_callers() -> anyhow::Result<()> {
+    println!("one box in its own process, idle callers after one statement each");
     let host = Processes {
         program: std::env::current_exe()?
             .with_file_name("..")
@@ -128,17 +129,17 @@
     let pid = cluster.boxes[0].handle.process_id();
     let mut clients: Vec<Client> = Vec::new();
     for count in [0, 500, 1_000, 2_000, 4_000] {
-        let (before, spent) = (clients.len(), processor(pid));
+        let (count_before, time_before) = (clients.len(), process_cpu_time(pid));
         while clients.len() < count {
             let mut client = cluster.connect(0, "g0", Some("v1.0.0")).await?;
             client.query("SELECT 1").await?;
             clients.push(client);
         }
-        let more = (count - before).max(1) as f64;
+        let new_callers = (count - count_before).max(1) as f64;
         println!(
-            "  {count:5} callers  {:8.2} MB resident  {:6.0} us processor for each that came",
-            resident(pid) as f64 / 1e6,
-            (processor(pid) - spent).as_secs_f64() * 1e6 / more,
+            "  {count:5} callers  {:8.2} MB resident  {:6.0} us processor time per new caller",
+            process_resident_bytes(pid) as f64 / 1e6,
+            (process_cpu_time(pid) - time_before).as_secs_f64() * 1e6 / new_callers,
         );
     }
     Ok(())
@@ -152,7 +153,7 @@
     }
 }
 
-/// The rows of so many groups: three members, two kinds of read, one rule each.
+/// Returns the table rows of `count` groups with three members, two read kinds and a once rule each.
 fn rows(count: usize) -> Vec<Row> {
     let mut rows = vec![row(
         "partner/p",
@@ -181,9 +182,9 @@
     rows
 }
 
-/// Memory and time of the whole configuration on one box.
-fn by_declarations() {
-    println!("configuration on one box: 7 resources a group, 420 boxes in 10 domains");
+/// Measures the memory of a configuration on one box, and the time to load it.
+fn measure_declarations() {
+    println!("configuration on one box: 7 resources per group, 420 boxes in 10 domains");
     let boxes: Vec<Listing> = (0..420)
         .map(|i| Listing {
             name: format!("b{i}").into(),
@@ -203,56 +204,57 @@
         };
         let size = serde_json::to_vec(&scan).map_or(0, |bytes| bytes.len());
         let mut store = Store::default();
-        let began = Instant::now();
+        let start = Instant::now();
         store.take(Revision::NONE, &scan, &log);
-        let taken = began.elapsed();
+        let load_time = start.elapsed();
         drop(scan);
-        let began = Instant::now();
+        let start = Instant::now();
         let snapshot = store.snapshot();
-        let built = began.elapsed();
-        let began = Instant::now();
+        let snapshot_time = start.elapsed();
+        let start = Instant::now();
         let ranking = Ranking::new(&boxes);
-        let mut owned = BTreeMap::new();
+        let mut groups_by_box = BTreeMap::new();
         for (id, plan) in &snapshot.groups {
             let domains: BTreeSet<Arc<str>> =
                 plan.members.iter().map(|m| m.domain.clone()).collect();
             for listing in ranking.owners(id, 3, &domains) {
-                *owned.entry(listing.name.clone()).or_insert(0usize) += 1;
+                *groups_by_box.entry(listing.name.clone()).or_insert(0usize) += 1;
             }
         }
-        let chosen = began.elapsed();
-        let most = owned.values().max().copied().unwrap_or_default();
+        let owners_time = start.elapsed();
+        let most = groups_by_box.values().max().copied().unwrap_or_default();
         println!(
-            "  {count:5} groups  {:6.2} MB  as JSON {:6.2} MB  taking all {:6.1} ms  snapshot {:6.1} ms  owners {:6.1} ms  most groups on a box {most}",
+            "  {count:5} groups  {:6.2} MB  as JSON {:6.2} MB  load {:6.1} ms  snapshot {:6.1} ms  owners {:6.1} ms  most groups on a box {most}",
             (resident_bytes().saturating_sub(before)) as f64 / 1e6,
             size as f64 / 1e6,
-            taken.as_secs_f64() * 1e3,
-            built.as_secs_f64() * 1e3,
-            chosen.as_secs_f64() * 1e3,
+            load_time.as_secs_f64() * 1e3,
+            snapshot_time.as_secs_f64() * 1e3,
+            owners_time.as_secs_f64() * 1e3,
         );
         drop(snapshot);
     }
 }
 
-/// Time until a change is in force everywhere, and what it costs, by boxes.
-async fn by_changes() -> anyhow::Result<()> {
+/// Measures the time until every box has applied a change, and the cost of a change, by the number
+/// of boxes.
+async fn measure_changes() -> anyhow::Result<()> {
     const CHANGES: usize = 40;
     println!(
-        "changes of one resource, {CHANGES} of them, by boxes; polls every {} s",
-        POLL.as_secs()
+        "{CHANGES} changes of one resource by number of boxes; polls every {} s",
+        POLL_INTERVAL.as_secs()
     );
     for boxes in [3, 9, 18, 36] {
         let cluster = Cluster::start(shape(boxes, 1), &Threads::default()).await?;
         tokio::time::sleep(Duration::from_secs(2)).await;
         let mut sample = Sample::default();
-        let (bytes, time) = (loopback_bytes(), thread_cpu_time("box-"));
+        let (bytes, cpu_time) = (loopback_bytes(), thread_cpu_time("box-"));
         for change in 0..CHANGES {
             let spec = json!({ "partner": "huerto", "group": "g0", "name": "panel", "max_age_ms": 1_000 + change });
             let resource = json!({ "kind": "read", "spec": spec });
-            let at = change % cluster.boxes.len();
+            let box_index = change % cluster.boxes.len();
             let start = Instant::now();
             let done = cluster
-                .apply(at, &operator_token("huerto"), &[resource])
+                .apply(box_index, &operator_token("huerto"), &[resource])
                 .await;
             let revision = done.map_err(anyhow::Error::msg)?["revision"]
                 .as_u64()
@@ -261,10 +263,10 @@
             sample.add(start.elapsed());
         }
         println!(
-            "  {boxes:3} boxes  {}  {:7.0} B a box and change, polls and looks included  {:6.2} ms processor a box and change",
+            "  {boxes:3} boxes  {}  {:7.0} B per box and change, including polls and status requests  {:6.2} ms processor time per box and change",
             sample.summary(),
             (loopback_bytes() - bytes) as f64 / f64::from(boxes) / CHANGES as f64,
-            (thread_cpu_time("box-") - time).as_secs_f64() * 1e3
+            (thread_cpu_time("box-") - cpu_time).as_secs_f64() * 1e3
                 / f64::from(boxes)
                 / CHANGES as f64,
         );
@@ -272,14 +274,14 @@
     Ok(())
 }
 
-/// All primaries of many groups fall silent at once.
-async fn storm() -> anyhow::Result<()> {
-    println!("every group's primary frozen at once; 3 boxes own all groups");
+/// Measures the replacement of many primaries that stop answering at once.
+async fn measure_replacements() -> anyhow::Result<()> {
+    println!("all primaries frozen at once; 3 boxes own all groups");
     for count in [2, 4, 8, 16] {
         let cluster = Cluster::start(shape(3, count), &Threads::default()).await?;
         tokio::time::sleep(Duration::from_secs(2)).await;
-        let (bytes, time) = (loopback_bytes(), thread_cpu_time("box-"));
-        let began = Instant::now();
+        let (bytes, cpu_time) = (loopback_bytes(), thread_cpu_time("box-"));
+        let start = Instant::now();
         for group in 0..count {
             let faults = Faults {
                 frozen: true,
@@ -288,17 +290,18 @@
             cluster.set_faults(group, 0, &faults).await?;
         }
         let mut replaced = None;
-        while began.elapsed() < Duration::from_secs(4) {
+        while start.elapsed() < Duration::from_secs(4) {
             let done = cluster.counter("larkfall_replacements_total").await >= count as f64;
-            replaced = replaced.or(done.then(|| began.elapsed()));
+            replaced = replaced.or(done.then(|| start.elapsed()));
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        let replaced = replaced.ok_or_else(|| anyhow::anyhow!("not all were replaced"))?;
+        let replaced =
+            replaced.ok_or_else(|| anyhow::anyhow!("some primaries were not replaced"))?;
         println!(
-            "  {count:3} groups  all replaced after {:6.0} ms  {:7.0} B a group in 4 s, looking included  {:6.2} ms processor a group",
+            "  {count:3} groups  all replaced after {:6.0} ms  {:7.0} B per group in 4 s, including status requests  {:6.2} ms processor time per group",
             replaced.as_secs_f64() * 1e3,
             (loopback_bytes() - bytes) as f64 / count as f64,
-            (thread_cpu_time("box-") - time).as_secs_f64() * 1e3 / count as f64,
+            (thread_cpu_time("box-") - cpu_time).as_secs_f64() * 1e3 / count as f64,
         );
     }
     Ok(())
@@ -306,16 +309,16 @@
 
 async fn measure(part: &str) -> anyhow::Result<()> {
     match part {
-        "groups" => by_groups().await,
-        "boxes" => by_boxes().await,
-        "callers" => by_callers().await,
+        "groups" => measure_groups().await,
+        "boxes" => measure_boxes().await,
+        "callers" => measure_callers().await,
         "declarations" => {
-            by_declarations();
+            measure_declarations();
             Ok(())
         }
-        "changes" => by_changes().await,
-        "storm" => storm().await,
-        other => anyhow::bail!("no part: {other}"),
+        "changes" => measure_changes().await,
+        "storm" => measure_replacements().await,
+        other => anyhow::bail!("unknown part: {other}"),
     }
 }
 
--- a/examples/detectors.rs
+++ b/examples/detectors.rs
@@ -1,7 +1,9 @@
-//! Failure detectors for silence on the same recorded delays and losses.
+//! Compares failure detectors on the same simulated delays and losses.
 //!
-//! `cargo run --release --example detectors`: detection time of a member that
-//! goes silent, wrong suspicions an hour, bytes a second for each detector.
+//! `cargo run --release --example detectors`
+//!
+//! Prints for each detector the time to detect a member that stops answering, the wrong suspicions
+//! per hour and the bytes per second.
 
 use std::time::Duration;
 
@@ -13,102 +15,108 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Bytes of one probe and its answer on the wire, as `--example capacity` counts them.
-const PROBE_BYTES: f64 = 476.0;
+/// Size of one probe and its answer on the wire.
+const BYTES_PER_PROBE: f64 = 476.0;
 const STEP: Duration = Duration::from_millis(1);
-const HOURS: u64 = 4;
+const TRACE_HOURS: u64 = 4;
 const CRASHES: u64 = 200;
 
-/// A recorded network: one entry a millisecond of sending, none where lost.
+/// Round-trip times by the millisecond of sending, `None` for lost messages.
 struct Trace {
     name: &'static str,
     round_trips: Vec<Option<Duration>>,
 }
 
-fn record(name: &'static str, loss: f64, jitter_ms: f64, pauses_a_minute: f64, seed: u64) -> Trace {
-    let mut dice = SmallRng::seed_from_u64(seed);
-    let length = HOURS as usize * 3_600_000;
+fn simulate(
+    name: &'static str,
+    loss: f64,
+    jitter_ms: f64,
+    pauses_per_minute: f64,
+    seed: u64,
+) -> Trace {
+    let mut rng = SmallRng::seed_from_u64(seed);
+    let length = TRACE_HOURS as usize * 3_600_000;
     let mut round_trips = Vec::with_capacity(length);
     let mut pause_left = 0u64;
     for _ in 0..length {
-        if pause_left == 0 && dice.random_bool(pauses_a_minute / 60_000.0) {
-            pause_left = dice.random_range(100..600);
+        if pause_left == 0 && rng.random_bool(pauses_per_minute / 60_000.0) {
+            pause_left = rng.random_range(100..600);
         }
-        let exponential = -jitter_ms * (1.0 - dice.random::<f64>()).ln();
+        let exponential = -jitter_ms * (1.0 - rng.random::<f64>()).ln();
         let base = Duration::from_secs_f64((3.0 + exponential) / 1_000.0);
-        let held = Duration::from_millis(pause_left);
+        let pause = Duration::from_millis(pause_left);
         pause_left = pause_left.saturating_sub(1);
-        let lost = dice.random_bool(loss);
-        round_trips.push((!lost).then_some(base + held));
+        let lost = rng.random_bool(loss);
+        round_trips.push((!lost).then_some(base + pause));
     }
     Trace { name, round_trips }
 }
 
-struct Measured {
+struct Measurement {
     detection: Sample,
-    mistakes: u64,
-    wrong: Duration,
+    wrong_suspicions: u64,
+    wrong_time: Duration,
     probes: u64,
     length: Duration,
 }
 
-/// Runs a detector over a trace without failures.
-fn watch(trace: &Trace, mut detector: Box<dyn Detector>) -> Measured {
-    let mut answers: Vec<(Duration, Duration)> = Vec::new();
-    let mut measured = Measured {
+/// Runs a detector over a trace in which the member doesn't crash.
+fn run_without_crashes(trace: &Trace, mut detector: Box<dyn Detector>) -> Measurement {
+    let mut pending_answers: Vec<(Duration, Duration)> = Vec::new();
+    let mut measured = Measurement {
         detection: Sample::default(),
-        mistakes: 0,
-        wrong: Duration::ZERO,
+        wrong_suspicions: 0,
+        wrong_time: Duration::ZERO,
         probes: 0,
         length: STEP * trace.round_trips.len() as u32,
     };
     let mut suspected = false;
     for (i, round_trip) in trace.round_trips.iter().enumerate() {
         let now = STEP * i as u32;
-        answers.retain(|(at, sent)| {
-            let due = *at <= now;
-            if due {
+        pending_answers.retain(|(arrives, sent)| {
+            let arrived = *arrives <= now;
+            if arrived {
                 detector.record_answer(*sent, now);
             }
-            !due
+            !arrived
         });
         if now >= detector.probe_due() {
             detector.record_probe(now);
             measured.probes += 1;
             if let Some(round_trip) = round_trip {
-                answers.push((now + *round_trip, now));
+                pending_answers.push((now + *round_trip, now));
             }
         }
         let now_suspected = detector.suspects(now);
-        measured.mistakes += u64::from(now_suspected && !suspected);
-        measured.wrong += STEP * u32::from(now_suspected);
+        measured.wrong_suspicions += u64::from(now_suspected && !suspected);
+        measured.wrong_time += STEP * u32::from(now_suspected);
         suspected = now_suspected;
     }
     measured
 }
 
-/// Time from a crash to the suspicion, for crashes spread over the trace.
-fn detect(trace: &Trace, make: &dyn Fn(Duration) -> Box<dyn Detector>) -> Sample {
+/// Measures the time from a crash to the suspicion, for crashes at random times of the trace.
+fn measure_detection(trace: &Trace, make: &dyn Fn(Duration) -> Box<dyn Detector>) -> Sample {
     let mut sample = Sample::default();
-    let mut dice = SmallRng::seed_from_u64(7);
+    let mut rng = SmallRng::seed_from_u64(7);
     for _ in 0..CRASHES {
-        let start = dice.random_range(0..trace.round_trips.len() as u64 - 60_000);
-        let crash = Duration::from_millis(start + 20_000 + dice.random_range(0..2_000));
+        let start = rng.random_range(0..trace.round_trips.len() as u64 - 60_000);
+        let crash = Duration::from_millis(start + 20_000 + rng.random_range(0..2_000));
         let mut detector = make(Duration::from_millis(start));
-        let mut answers: Vec<(Duration, Duration)> = Vec::new();
+        let mut pending_answers: Vec<(Duration, Duration)> = Vec::new();
         for i in start..start + 60_000 {
             let now = Duration::from_millis(i);
-            answers.retain(|(at, sent)| {
-                let due = *at <= now;
-                if due && *at <= crash {
+            pending_answers.retain(|(arrives, sent)| {
+                let arrived = *arrives <= now;
+                if arrived && *arrives <= crash {
                     detector.record_answer(*sent, now);
                 }
-                !due
+                !arrived
             });
             if now >= detector.probe_due() {
                 detector.record_probe(now);
                 if let Some(round_trip) = trace.round_trips[i as usize] {
-                    answers.push((now + round_trip, now));
+                    pending_answers.push((now + round_trip, now));
                 }
             }
             if now > crash && detector.suspects(now) {
@@ -122,8 +130,8 @@
 
 fn main() {
     let ms = Duration::from_millis;
-    type Make = Box<dyn Fn(Duration) -> Box<dyn Detector>>;
-    let baseline = |period, interval, tries| -> Make {
+    type MakeDetector = Box<dyn Fn(Duration) -> Box<dyn Detector>>;
+    let baseline = |period, interval, tries| -> MakeDetector {
         Box::new(move |now| {
             let settings = Settings {
                 period: Duration::from_millis(period),
@@ -133,7 +141,7 @@
             Box::new(Baseline::new(settings, now))
         })
     };
-    let detectors: Vec<(&str, Make)> = vec![
+    let detectors: Vec<(&str, MakeDetector)> = vec![
         (
             "fixed, 1000 ms, timeout 1500",
             Box::new(move |now| Box::new(Fixed::new(ms(1_000), ms(1_500), now))),
@@ -160,9 +168,9 @@
         ("retransmitting, 2000 ms, 4 x 200", baseline(2_000, 200, 4)),
     ];
     let traces = [
-        record("calm: 3 ms, jitter 0.3 ms", 0.0, 0.3, 0.0, 1),
-        record("lossy: 2% lost, jitter 5 ms", 0.02, 5.0, 0.0, 2),
-        record(
+        simulate("calm: 3 ms, jitter 0.3 ms", 0.0, 0.3, 0.0, 1),
+        simulate("lossy: 2% lost, jitter 5 ms", 0.02, 5.0, 0.0, 2),
+        simulate(
             "pausing: 2 pauses a minute of 100 to 600 ms, 0.5% lost",
             0.005,
             1.0,
@@ -171,18 +179,18 @@
         ),
     ];
     for trace in &traces {
-        println!("{} ({HOURS} h, {CRASHES} crashes)", trace.name);
+        println!("{} ({TRACE_HOURS} h, {CRASHES} crashes)", trace.name);
         for (name, make) in &detectors {
-            let mut measured = watch(trace, make(Duration::ZERO));
-            measured.detection = detect(trace, make);
+            let mut measured = run_without_crashes(trace, make(Duration::ZERO));
+            measured.detection = measure_detection(trace, make);
             let hours = measured.length.as_secs_f64() / 3_600.0;
             println!(
                 "  {name:34} detection p50 {:5.0} p99 {:5.0} ms  wrong suspicions {:7.1}/h  wrong for {:6.0} ms/h  {:6.0} B/s",
                 measured.detection.quantile(0.5).as_secs_f64() * 1_000.0,
                 measured.detection.quantile(0.99).as_secs_f64() * 1_000.0,
-                measured.mistakes as f64 / hours,
-                measured.wrong.as_secs_f64() * 1_000.0 / hours,
-                measured.probes as f64 * PROBE_BYTES / measured.length.as_secs_f64(),
+                measured.wrong_suspicions as f64 / hours,
+                measured.wrong_time.as_secs_f64() * 1_000.0 / hours,
+                measured.probes as f64 * BYTES_PER_PROBE / measured.length.as_secs_f64(),
             );
         }
     }
--- a/examples/failover.rs
+++ b/examples/failover.rs
@@ -1,4 +1,4 @@
-//! The failover gap as a distribution, by kind of fault.
+//! Measures the distribution of the failover gap by kind of fault.
 //!
 //! `cargo run --release --example failover -- TRIALS [KIND…]`
 
@@ -12,11 +12,11 @@
 use larkfall::trial::workload::{Mix, Workload, create_tables};
 use tokio::task::LocalSet;
 
-const KINDS: [&str; 4] = ["killed", "frozen", "cut-from-domain", "cut-from-boxes"];
+const FAULT_KINDS: [&str; 4] = ["killed", "frozen", "cut-from-domain", "cut-from-boxes"];
 const WORKERS: u64 = 3;
-const WARM: Duration = Duration::from_millis(400);
-/// Writes that must be acknowledged after the fault, from all sessions.
-const AFTER: usize = 40;
+const WARM_UP: Duration = Duration::from_millis(400);
+/// Number of writes that must be acknowledged after the fault, over all sessions.
+const MIN_ACKNOWLEDGED: usize = 40;
 
 struct Outcome {
     gap: Duration,
@@ -24,7 +24,7 @@
     replacements: f64,
 }
 
-async fn trial(kind: &str, seed: u64) -> anyhow::Result<Outcome> {
+async fn run_trial(kind: &str, seed: u64) -> anyhow::Result<Outcome> {
     let shape = Shape {
         boxes: 3,
         delay_ms: 2,
@@ -42,22 +42,25 @@
         ..Mix::default()
     };
     let workload = Workload::start(boxes, "huerto", "market", &mix);
-    tokio::time::sleep(WARM + Duration::from_millis(seed * 37 % 200)).await;
-    let since = workload.elapsed();
-    fail(&mut cluster, kind).await?;
-    // Acknowledgements well after the fault, so that the gap is over.
-    let goal = |journal: &larkfall::trial::journal::Journal| {
-        let last = journal.acknowledged_at.iter().rev().take(AFTER);
-        journal.acknowledged_at.len() > AFTER
+    tokio::time::sleep(WARM_UP + Duration::from_millis(seed * 37 % 200)).await;
+    let fault_at = workload.elapsed();
+    inject_fault(&mut cluster, kind).await?;
+    // The last acknowledgements must all come well after the fault, so that the gap has ended.
+    let is_recovered = |journal: &larkfall::trial::journal::Journal| {
+        let last = journal.acknowledged_at.iter().rev().take(MIN_ACKNOWLEDGED);
+        journal.acknowledged_at.len() > MIN_ACKNOWLEDGED
             && last
                 .min()
-                .is_some_and(|at| *at > since + Duration::from_millis(60))
+                .is_some_and(|at| *at > fault_at + Duration::from_millis(60))
     };
-    wait_until("writes go on", async || goal(&workload.journal.borrow())).await?;
+    wait_until("writes are acknowledged again", async || {
+        is_recovered(&workload.journal.borrow())
+    })
+    .await?;
     let gap = workload
         .journal
         .borrow()
-        .gap_after(since)
+        .gap_after(fault_at)
         .unwrap_or_default();
     let replacements = cluster.counter("larkfall_replacements_total").await;
     for member in 1..3 {
@@ -76,7 +79,7 @@
     })
 }
 
-async fn fail(cluster: &mut Cluster, kind: &str) -> anyhow::Result<()> {
+async fn inject_fault(cluster: &mut Cluster, kind: &str) -> anyhow::Result<()> {
     let mut faults = cluster.default_faults();
     match kind {
         "killed" => {
@@ -91,19 +94,19 @@
                 .collect();
         }
         "none" => {}
-        other => anyhow::bail!("no kind of fault: {other}"),
+        other => anyhow::bail!("unknown kind of fault: {other}"),
     }
     let faults = Faults { ..faults };
     cluster.set_faults(0, 0, &faults).await
 }
 
-fn worker(kind: String, seeds: Vec<u64>) -> Vec<anyhow::Result<Outcome>> {
+fn run_trials(kind: String, seeds: Vec<u64>) -> Vec<anyhow::Result<Outcome>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime can be built");
-    let one = |seed| LocalSet::new().block_on(&runtime, trial(&kind, seed));
-    seeds.into_iter().map(one).collect()
+    let run = |seed| LocalSet::new().block_on(&runtime, run_trial(&kind, seed));
+    seeds.into_iter().map(run).collect()
 }
 
 fn main() {
@@ -112,35 +115,35 @@
         .first()
         .and_then(|text| text.parse().ok())
         .unwrap_or(50);
-    let chosen: Vec<&str> = match arguments.len() {
-        0 | 1 => KINDS.to_vec(),
+    let kinds: Vec<&str> = match arguments.len() {
+        0 | 1 => FAULT_KINDS.to_vec(),
         _ => arguments[1..].iter().map(String::as_str).collect(),
     };
     println!(
         "3 boxes, 3 members in 3 domains, 2 ms one way between domains, lag 5 ms, {trials} trials"
     );
-    for kind in chosen {
-        let share = move |w: u64| {
+    for kind in kinds {
+        let seeds = move |worker: u64| {
             (0..trials)
-                .filter(|seed| seed % WORKERS == w)
+                .filter(|seed| seed % WORKERS == worker)
                 .collect::<Vec<u64>>()
         };
-        let start = |w| {
+        let start = |worker| {
             let kind = kind.to_owned();
-            std::thread::spawn(move || worker(kind, share(w)))
+            std::thread::spawn(move || run_trials(kind, seeds(worker)))
         };
         let handles: Vec<_> = (0..WORKERS).map(start).collect();
         let mut gaps = Sample::default();
-        let (mut bad, mut failed, mut replacements) = (0, 0, 0.0);
+        let (mut violated, mut failed, mut replacements) = (0, 0, 0.0);
         for handle in handles {
-            for outcome in handle.join().expect("a worker ends") {
+            for outcome in handle.join().expect("the trials ran without a panic") {
                 match outcome {
                     Ok(outcome) => {
                         gaps.add(outcome.gap);
                         replacements += outcome.replacements;
                         if !outcome.verdict.is_clean() {
                             println!("  {:?}", outcome.verdict);
-                            bad += 1;
+                            violated += 1;
                         }
                     }
                     Err(error) => {
@@ -151,7 +154,7 @@
             }
         }
         println!(
-            "{kind:16} {}  p90 {:8.2}  replacements {replacements}  not clean {bad}  failed {failed}",
+            "{kind:16} {}  p90 {:8.2}  replacements {replacements}  with violations {violated}  failed {failed}",
             gaps.summary(),
             gaps.quantile(0.9).as_secs_f64() * 1_000.0,
         );
--- a/examples/overload.rs
+++ b/examples/overload.rs
@@ -1,4 +1,5 @@
-//! Goodput and latency at multiples of capacity, and one partner flooding another.
+//! Measures goodput and latency at multiples of the capacity, and while one partner overloads a box
+//! that another partner shares.
 //!
 //! `cargo run --release --example overload -- [SECONDS]`
 
@@ -22,69 +23,70 @@
 const SERVICE_MS: u64 = 5;
 const REPLICAS: usize = 2;
 const DEADLINE: Duration = Duration::from_millis(500);
-const MOST_CLIENTS: usize = 4_000;
+const MAX_CLIENTS: usize = 4_000;
 
 #[derive(Default)]
 struct Load {
-    done: Sample,
+    completed: Sample,
     refused: Sample,
+    /// Answers after the deadline.
     late: u64,
     errors: BTreeMap<String, u64>,
     offered: u64,
 }
 
-/// Clients that are free; new ones are made as needed.
-struct Callers {
+/// A pool of clients, which connects new ones as needed.
+struct ClientPool {
     at: SocketAddr,
     partner: String,
     group: String,
-    free: RefCell<Vec<Client>>,
-    made: Cell<usize>,
+    idle: RefCell<Vec<Client>>,
+    connected: Cell<usize>,
 }
 
-impl Callers {
-    async fn one(&self) -> Option<Client> {
-        if let Some(client) = self.free.borrow_mut().pop() {
+impl ClientPool {
+    async fn acquire(&self) -> Option<Client> {
+        if let Some(client) = self.idle.borrow_mut().pop() {
             return Some(client);
         }
-        if self.made.get() >= MOST_CLIENTS {
+        if self.connected.get() >= MAX_CLIENTS {
             return None;
         }
-        self.made.set(self.made.get() + 1);
+        self.connected.set(self.connected.get() + 1);
         Client::connect(self.at, &self.partner, &self.group, Some("v1.0.0"))
             .await
             .ok()
     }
 }
 
-/// Sends reads at a rate, whether answers come or not.
-async fn offer(callers: Rc<Callers>, rate: f64, length: Duration, seed: u64) -> Load {
+/// Sends reads at a rate that doesn't depend on the answers.
+async fn send_reads(pool: Rc<ClientPool>, rate: f64, length: Duration, seed: u64) -> Load {
     let load = Rc::new(RefCell::new(Load::default()));
-    let mut dice = SmallRng::seed_from_u64(seed);
+    let mut rng = SmallRng::seed_from_u64(seed);
     let end = Instant::now() + length;
     let mut next = Instant::now();
     let mut tasks = Vec::new();
     while next < end {
         tokio::time::sleep_until(next.into()).await;
         while next <= Instant::now() {
-            next += Duration::from_secs_f64(-(1.0 - dice.random::<f64>()).ln() / rate);
+            next += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / rate);
             load.borrow_mut().offered += 1;
-            let (callers, load) = (callers.clone(), load.clone());
+            let (pool, load) = (pool.clone(), load.clone());
             tasks.push(tokio::task::spawn_local(async move {
-                let Some(mut client) = callers.one().await else {
+                let Some(mut client) = pool.acquire().await else {
                     return;
                 };
-                let began = Instant::now();
+                let sent = Instant::now();
                 let answer = client.query("SELECT title FROM deck WHERE id = 1").await;
-                let took = began.elapsed();
+                let latency = sent.elapsed();
                 let mut load = load.borrow_mut();
                 match answer {
-                    Ok(_) if took <= DEADLINE => load.done.add(took),
+                    Ok(_) if latency <= DEADLINE => load.completed.add(latency),
                     Ok(_) => load.late += 1,
-                    Err(error) if error.is_not_run() => load.refused.add(took),
+                    Err(error) if error.is_not_run() => load.refused.add(latency),
                     Err(error) => *load.errors.entry(error.to_string()).or_default() += 1,
                 }
-                callers.free.borrow_mut().push(client);
+                pool.idle.borrow_mut().push(client);
             }));
         }
     }
@@ -94,14 +96,14 @@
     load.take()
 }
 
-async fn callers(cluster: &Cluster, i: usize, group: &str) -> anyhow::Result<Rc<Callers>> {
+async fn client_pool(cluster: &Cluster, i: usize, group: &str) -> anyhow::Result<Rc<ClientPool>> {
     let (partner, group) = cluster.split_group_name(group);
-    Ok(Rc::new(Callers {
+    Ok(Rc::new(ClientPool {
         at: cluster.sql_address(i),
         partner: partner.to_owned(),
         group: group.to_owned(),
-        free: RefCell::default(),
-        made: Cell::default(),
+        idle: RefCell::default(),
+        connected: Cell::default(),
     }))
 }
 
@@ -117,7 +119,7 @@
     }
 }
 
-async fn start(groups: &[&str]) -> anyhow::Result<Cluster> {
+async fn start_cluster(groups: &[&str]) -> anyhow::Result<Cluster> {
     let cluster = Cluster::start(shape(groups), &Threads::default()).await?;
     for group in groups {
         let mut client = cluster.connect(0, group, None).await?;
@@ -134,8 +136,8 @@
     println!(
         "{name:28} offered {:6.0}/s  goodput {:6.0}/s  {}  refused {:6.0}/s (p99 {:6.2} ms)  late {}  errors {:?}",
         load.offered as f64 / length.as_secs_f64(),
-        load.done.len() as f64 / length.as_secs_f64(),
-        load.done.summary(),
+        load.completed.len() as f64 / length.as_secs_f64(),
+        load.completed.summary(),
         load.refused.len() as f64 / length.as_secs_f64(),
         load.refused.quantile(0.99).as_secs_f64() * 1_000.0,
         load.late,
@@ -150,24 +152,28 @@
         DEADLINE.as_millis()
     );
     for factor in [0.5, 1.0, 2.0, 4.0] {
-        let cluster = start(&["market"]).await?;
-        let callers = callers(&cluster, 0, "market").await?;
-        let load = offer(callers, capacity * factor, length, 1).await;
+        let cluster = start_cluster(&["market"]).await?;
+        let pool = client_pool(&cluster, 0, "market").await?;
+        let load = send_reads(pool, capacity * factor, length, 1).await;
         report(&format!("{factor} x capacity"), &load, length);
     }
-    let cluster = start(&["huerto/market", "cards/decks"]).await?;
-    let quiet = callers(&cluster, 0, "cards/decks").await?;
-    let load = offer(quiet, capacity * 0.3, length, 2).await;
+    let cluster = start_cluster(&["huerto/market", "cards/decks"]).await?;
+    let quiet = client_pool(&cluster, 0, "cards/decks").await?;
+    let load = send_reads(quiet, capacity * 0.3, length, 2).await;
     report("cards alone, 0.3 x", &load, length);
     for factor in [1.0, 4.0] {
-        let flood = callers(&cluster, 0, "huerto/market").await?;
-        let quiet = callers(&cluster, 0, "cards/decks").await?;
-        let (flooding, other) = tokio::join!(
-            offer(flood, capacity * factor, length, 3),
-            offer(quiet, capacity * 0.3, length, 4),
+        let flooding = client_pool(&cluster, 0, "huerto/market").await?;
+        let quiet = client_pool(&cluster, 0, "cards/decks").await?;
+        let (flooding_load, quiet_load) = tokio::join!(
+            send_reads(flooding, capacity * factor, length, 3),
+            send_reads(quiet, capacity * 0.3, length, 4),
         );
-        report(&format!("huerto floods at {factor} x"), &flooding, length);
-        report("cards meanwhile, 0.3 x", &other, length);
+        report(
+            &format!("huerto floods at {factor} x"),
+            &flooding_load,
+            length,
+        );
+        report("cards meanwhile, 0.3 x", &quiet_load, length);
     }
     Ok(())
 }
--- a/examples/replicas.rs
+++ b/examples/replicas.rs
@@ -1,10 +1,10 @@
-//! The share of reads served by replicas, by deployment and lag, against two baselines.
+//! Measures the share of reads served by replicas, by workload and replication lag.
 //!
 //! `cargo run --release --example replicas -- [SECONDS]`
 //!
-//! Baselines: all reads to the primary (a read kind that tolerates nothing), and
-//! a session pinned to the primary for a fixed time after each of its writes,
-//! reckoned from the recorded operations of the same run.
+//! Compares with two baselines: all reads go to the primary, since their read kind allows no
+//! staleness, and sessions are pinned to the primary for a fixed time after each write. The second
+//! baseline is computed from the operations of the same run.
 
 use std::time::{Duration, Instant};
 
@@ -21,24 +21,28 @@
 use tokio::task::LocalSet;
 
 const SESSIONS: u64 = 24;
-const PIN: Duration = Duration::from_secs(1);
+const PINNED_AFTER_WRITE: Duration = Duration::from_secs(1);
 
-/// A deployment's operations: percent of writes, of panel or deck reads; the rest are own reads.
-struct Deployment {
+/// The operations of a workload. All other operations read the session's own rows.
+struct Operations {
     name: &'static str,
-    writes: u32,
-    relaxed: u32,
-    think: Duration,
+    write_percent: u32,
+    /// Reads that allow some staleness.
+    relaxed_percent: u32,
+    /// Pause of a session between two operations.
+    think_time: Duration,
 }
 
 #[derive(Default)]
-struct Seen {
+struct Results {
     reads: u64,
     relaxed: u64,
+    /// Reads that would go to the primary with pinning.
     pinned: u64,
+    /// Reads that missed a write of the same session.
     stale: u64,
-    read_times: Sample,
-    relaxed_times: Sample,
+    own_read_times: Sample,
+    relaxed_read_times: Sample,
     write_times: Sample,
     errors: u64,
 }
@@ -47,58 +51,58 @@
     at: std::net::SocketAddr,
     student: u64,
     end: Instant,
-    deployment: Rc<Deployment>,
-    seen: Rc<RefCell<Seen>>,
+    operations: Rc<Operations>,
+    results: Rc<RefCell<Results>>,
 ) -> Result<(), ClientError> {
     let mut client = Client::connect(at, "huerto", "market", None).await?;
-    let mut dice = SmallRng::seed_from_u64(student);
+    let mut rng = SmallRng::seed_from_u64(student);
     let mut sequence = 0i64;
-    let mut wrote: Option<Instant> = None;
+    let mut last_write: Option<Instant> = None;
     while Instant::now() < end {
-        tokio::time::sleep(deployment.think.mul_f64(dice.random_range(0.5..1.5))).await;
-        let roll = dice.random_range(0..100);
-        let began = Instant::now();
-        if roll < deployment.writes {
+        tokio::time::sleep(operations.think_time.mul_f64(rng.random_range(0.5..1.5))).await;
+        let draw = rng.random_range(0..100);
+        let start = Instant::now();
+        if draw < operations.write_percent {
             sequence += 1;
             let sql = format!(
                 "INSERT INTO answer VALUES ('{student}-{sequence}', {student}, {sequence})"
             );
             let answer = client.query(&sql).await;
-            let mut seen = seen.borrow_mut();
-            seen.errors += u64::from(answer.is_err());
+            let mut results = results.borrow_mut();
+            results.errors += u64::from(answer.is_err());
             if answer.is_err() {
                 sequence -= 1;
             }
-            seen.write_times.add(began.elapsed());
-            wrote = Some(Instant::now());
+            results.write_times.add(start.elapsed());
+            last_write = Some(Instant::now());
             continue;
         }
-        let relaxed = roll < deployment.writes + deployment.relaxed;
+        let relaxed = draw < operations.write_percent + operations.relaxed_percent;
         let sql = match relaxed {
             true => "SELECT title FROM deck WHERE id = 1".to_owned(),
             false => format!("SELECT max(seq) FROM answer WHERE student = {student}"),
         };
         let answer = client.query(&sql).await;
-        let mut seen = seen.borrow_mut();
-        seen.reads += 1;
-        seen.pinned += u64::from(wrote.is_some_and(|at| at.elapsed() < PIN));
+        let mut results = results.borrow_mut();
+        results.reads += 1;
+        results.pinned += u64::from(last_write.is_some_and(|at| at.elapsed() < PINNED_AFTER_WRITE));
         match answer {
             Ok(answer) if !relaxed => {
-                seen.stale += u64::from(answer.number().unwrap_or_default() < sequence);
-                seen.read_times.add(began.elapsed());
+                results.stale += u64::from(answer.number().unwrap_or_default() < sequence);
+                results.own_read_times.add(start.elapsed());
             }
             Ok(_) => {
-                seen.relaxed += 1;
-                seen.relaxed_times.add(began.elapsed());
+                results.relaxed += 1;
+                results.relaxed_read_times.add(start.elapsed());
             }
-            Err(_) => seen.errors += 1,
+            Err(_) => results.errors += 1,
         }
     }
     Ok(())
 }
 
-async fn trial(
-    deployment: Deployment,
+async fn run_trial(
+    operations: Operations,
     lag: u64,
     length: Duration,
     strict: bool,
@@ -128,70 +132,76 @@
     tokio::time::sleep(Duration::from_millis(lag + 100)).await;
     let replica = cluster.counter("larkfall_reads_by_replica_total").await;
     let primary = cluster.counter("larkfall_reads_by_primary_total").await;
-    let name = deployment.name;
-    let deployment = Rc::new(deployment);
-    let seen = Rc::new(RefCell::new(Seen::default()));
+    let name = operations.name;
+    let operations = Rc::new(operations);
+    let results = Rc::new(RefCell::new(Results::default()));
     let end = Instant::now() + length;
     let start = |student: u64| {
         let at = cluster.sql_address(student as usize % cluster.boxes.len());
-        tokio::task::spawn_local(session(at, student, end, deployment.clone(), seen.clone()))
+        tokio::task::spawn_local(session(
+            at,
+            student,
+            end,
+            operations.clone(),
+            results.clone(),
+        ))
     };
     let sessions: Vec<_> = (0..SESSIONS).map(start).collect();
     for session in sessions {
         session.await??;
     }
-    let deck = r#"kind="deck""#;
-    let decks = cluster
-        .counter_with_label("larkfall_reads_by_replica_total", deck)
+    let label = r#"kind="deck""#;
+    let relaxed_by_replica = cluster
+        .counter_with_label("larkfall_reads_by_replica_total", label)
         .await;
-    let decks_by_primary = cluster
-        .counter_with_label("larkfall_reads_by_primary_total", deck)
+    let relaxed_by_primary = cluster
+        .counter_with_label("larkfall_reads_by_primary_total", label)
         .await;
     let replica = cluster.counter("larkfall_reads_by_replica_total").await - replica;
     let primary = cluster.counter("larkfall_reads_by_primary_total").await - primary;
-    let seen = seen.borrow();
-    let way = match (strict, own_writes) {
+    let results = results.borrow();
+    let policy = match (strict, own_writes) {
         (true, _) => "all to primary",
-        (false, "tables") => "decks apart",
-        _ => "one floor",
+        (false, "tables") => "floor by table",
+        _ => "session floor",
     };
     println!(
-        "{name:12} lag {lag:3} ms  {way:14} on replicas {:5.1}%, panel and deck {:5.1}%  (pinned {:.0} s after a write: {:5.1}%)  stale own reads {}  errors {}",
+        "{name:12} lag {lag:3} ms  {policy:14} on replicas {:5.1}%, relaxed reads {:5.1}%  (with pinning for {:.0} s after a write: {:5.1}%)  stale own reads {}  errors {}",
         100.0 * replica / (replica + primary).max(1.0),
-        100.0 * decks / (decks + decks_by_primary).max(1.0),
-        PIN.as_secs_f64(),
-        100.0 * (1.0 - seen.pinned as f64 / seen.reads.max(1) as f64),
-        seen.stale,
-        seen.errors,
+        100.0 * relaxed_by_replica / (relaxed_by_replica + relaxed_by_primary).max(1.0),
+        PINNED_AFTER_WRITE.as_secs_f64(),
+        100.0 * (1.0 - results.pinned as f64 / results.reads.max(1) as f64),
+        results.stale,
+        results.errors,
     );
-    println!("      own reads   {}", seen.read_times.summary());
-    println!("      panel, deck {}", seen.relaxed_times.summary());
-    println!("      writes      {}", seen.write_times.summary());
+    println!("      own reads   {}", results.own_read_times.summary());
+    println!("      relaxed     {}", results.relaxed_read_times.summary());
+    println!("      writes      {}", results.write_times.summary());
     Ok(())
 }
 
 fn main() -> anyhow::Result<()> {
     let length = bench::duration();
     let runtime = bench::runtime()?;
-    let deployments: [fn() -> Deployment; 2] = [
-        || Deployment {
+    let workloads: [fn() -> Operations; 2] = [
+        || Operations {
             name: "huerto",
-            writes: 20,
-            relaxed: 40,
-            think: Duration::from_millis(30),
+            write_percent: 20,
+            relaxed_percent: 40,
+            think_time: Duration::from_millis(30),
         },
-        || Deployment {
+        || Operations {
             name: "flash cards",
-            writes: 10,
-            relaxed: 80,
-            think: Duration::from_millis(15),
+            write_percent: 10,
+            relaxed_percent: 80,
+            think_time: Duration::from_millis(15),
         },
     ];
-    for make in deployments {
+    for make in workloads {
         for lag in [5, 50, 500] {
             for (strict, own_writes) in [(false, "tables"), (false, "all"), (true, "all")] {
                 LocalSet::new()
-                    .block_on(&runtime, trial(make(), lag, length, strict, own_writes))?;
+                    .block_on(&runtime, run_trial(make(), lag, length, strict, own_writes))?;
             }
         }
     }
--- a/examples/speed.rs
+++ b/examples/speed.rs
@@ -1,6 +1,6 @@
-//! Time added per statement over a direct connection to the same member, by a
-//! box that owns the group and by one that forwards; statements a second through
-//! one box, and the processor time of each.
+//! Measures the latency that a box adds to a statement, compared with a direct connection to the
+//! same member, and the throughput and processor time of statements through one box. Both are
+//! measured for the box that owns the group and for a box that forwards to the owner.
 //!
 //! `cargo run --release --example speed -- [SECONDS]`
 
@@ -17,28 +17,34 @@
 use tokio::task::LocalSet;
 
 const SQL: &str = "SELECT title FROM deck WHERE id = 1";
-const WARM: u32 = 500;
+const WARM_UP_STATEMENTS: u32 = 500;
 
-async fn one_by_one(client: &mut Client, length: Duration) -> anyhow::Result<Sample> {
-    for _ in 0..WARM {
+/// Measures the latency of statements on one connection.
+async fn measure_latency(client: &mut Client, length: Duration) -> anyhow::Result<Sample> {
+    for _ in 0..WARM_UP_STATEMENTS {
         client.query(SQL).await?;
     }
     let mut sample = Sample::default();
     let end = Instant::now() + length;
     while Instant::now() < end {
-        let began = Instant::now();
+        let start = Instant::now();
         client.query(SQL).await?;
-        sample.add(began.elapsed());
+        sample.add(start.elapsed());
     }
     Ok(sample)
 }
 
-fn micros(sample: &Sample, share: f64) -> f64 {
+fn quantile_us(sample: &Sample, share: f64) -> f64 {
     sample.quantile(share).as_secs_f64() * 1e6
 }
 
-async fn through(at: SocketAddr, callers: usize, length: Duration) -> anyhow::Result<f64> {
-    // Callers on threads of their own, so that they do not share the box's core.
+/// Returns the statements per second that concurrent callers complete.
+async fn measure_throughput(
+    at: SocketAddr,
+    callers: usize,
+    length: Duration,
+) -> anyhow::Result<f64> {
+    // The callers run on other threads so that they don't compete with the box.
     let threads = callers.min(4);
     let start = |share: usize| {
         std::thread::spawn(move || -> anyhow::Result<u64> {
@@ -65,7 +71,7 @@
     let handles: Vec<_> = (0..threads).map(|_| start(callers / threads)).collect();
     let mut total = 0;
     for handle in handles {
-        total += handle.join().expect("a caller's thread ends")?;
+        total += handle.join().expect("no caller panics")?;
     }
     Ok(total as f64 / length.as_secs_f64())
 }
@@ -107,13 +113,16 @@
     })
     .await?;
     let mut direct = Client::connect(member, "x", "x", None).await?;
-    let mut local = cluster.connect(owner, "market", Some("v1.0.0")).await?;
-    let mut hop = cluster.connect(1 - owner, "market", Some("v1.0.0")).await?;
-    // Interleaved, so that all three see the same machine.
+    let mut owning = cluster.connect(owner, "market", Some("v1.0.0")).await?;
+    let mut forwarding = cluster.connect(1 - owner, "market", Some("v1.0.0")).await?;
+    // Interleaves the three, so that other load on the machine affects them equally.
     let mut samples = [Sample::default(), Sample::default(), Sample::default()];
     for _ in 0..4 {
-        for (i, client) in [&mut direct, &mut local, &mut hop].into_iter().enumerate() {
-            samples[i].extend(one_by_one(client, length / 4).await?);
+        for (i, client) in [&mut direct, &mut owning, &mut forwarding]
+            .into_iter()
+            .enumerate()
+        {
+            samples[i].extend(measure_latency(client, length / 4).await?);
         }
     }
     for (name, sample) in [
@@ -126,10 +135,10 @@
     {
         println!(
             "{name:26} p50 {:7.1} us  p99 {:7.1} us  added p50 {:7.1} us  p99 {:7.1} us",
-            micros(sample, 0.5),
-            micros(sample, 0.99),
-            micros(sample, 0.5) - micros(&samples[0], 0.5),
-            micros(sample, 0.99) - micros(&samples[0], 0.99),
+            quantile_us(sample, 0.5),
+            quantile_us(sample, 0.99),
+            quantile_us(sample, 0.5) - quantile_us(&samples[0], 0.5),
+            quantile_us(sample, 0.99) - quantile_us(&samples[0], 0.99),
         );
     }
     for (name, at) in [("owner", owner), ("forwarding", 1 - owner)] {
@@ -139,15 +148,15 @@
                 thread_cpu_time(&format!("box-b{}", 1 - owner)),
                 thread_cpu_time("member"),
             );
-            let rate = through(cluster.sql_address(at), callers, length).await?;
-            let spent = |after: Duration, before: Duration| {
+            let rate = measure_throughput(cluster.sql_address(at), callers, length).await?;
+            let us_per_statement = |after: Duration, before: Duration| {
                 (after - before).as_secs_f64() * 1e6 / (rate * length.as_secs_f64())
             };
             println!(
-                "{name:10} {callers:3} callers  {rate:8.0}/s  processor a statement: owner {:5.1} us  entry {:5.1} us  members {:5.1} us",
-                spent(thread_cpu_time(&format!("box-b{owner}")), before.0),
-                spent(thread_cpu_time(&format!("box-b{}", 1 - owner)), before.1),
-                spent(thread_cpu_time("member"), before.2),
+                "{name:10} {callers:3} callers  {rate:8.0}/s  processor time per statement: owner {:5.1} us  forwarder {:5.1} us  members {:5.1} us",
+                us_per_statement(thread_cpu_time(&format!("box-b{owner}")), before.0),
+                us_per_statement(thread_cpu_time(&format!("box-b{}", 1 - owner)), before.1),
+                us_per_statement(thread_cpu_time("member"), before.2),
             );
         }
     }
--- a/examples/support/processes.rs
+++ b/examples/support/processes.rs
@@ -1,4 +1,4 @@
-//! Starts the program as processes of their own, and ends them by pid.
+//! Starts members, platforms and boxes as processes, and controls them by signals.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -9,7 +9,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// Starts processes of one program.
+/// Starts instances as processes of a program.
 pub struct Processes {
     pub program: PathBuf,
 }
@@ -24,7 +24,7 @@
             program.arg(format!("--{flag}")).arg(value);
         }
         let child = program.stdout(Stdio::null()).spawn();
-        Box::new(Self(child.expect("the program starts")))
+        Box::new(Self(child.expect("the program can be started")))
     }
 
     fn signal(&self, signal: Signal) {
