--- a/src/trial/cluster.rs
+++ b/src/trial/cluster.rs
@@ -536,11 +536,11 @@
     pub async fn wait_for_revision(&self, revision: u64) -> anyhow::Result<()> {
         for index in 0..self.boxes.len() {
             wait_until("the box has applied the revision", async || {
-                let dump = self
+                let answer = self
                     .http
                     .get(&self.api_address(index), "/revision", REQUEST_TIMEOUT)
                     .await;
-                let found = dump
+                let found = answer
                     .ok()
                     .and_then(|body| serde_json::from_slice::<u64>(&body).ok());
                 found.is_some_and(|found| found >= revision)
