--- a/src/trial/host.rs
+++ b/src/trial/host.rs
@@ -1,7 +1,7 @@
-//! Starts stand-ins and boxes on threads of this process, each with its own loop.
+//! Starts stand-ins and boxes on threads of this process, each with its own runtime.
 //!
-//! Stopping one drops its loop with all its sockets, which callers see as they
-//! would see a killed process.
+//! Killing a thread drops its runtime with all sockets, so callers see the same as with a killed
+//! process.
 
 use std::thread::JoinHandle;
 
@@ -16,28 +16,28 @@
 use crate::standin::ports;
 use crate::standin::{member, platform};
 
-/// Something that runs and can be ended.
-pub trait Running {
-    /// Ends it at once, as a kill would.
+/// Controls a started member, platform or box.
+pub trait Handle {
+    /// Ends the instance at once, as SIGKILL ends a process.
     fn kill(&mut self);
-    /// Asks it to stop in good order and waits until it has.
+    /// Shuts the instance down gracefully and waits for its end.
     fn stop(&mut self);
-    /// Its process.
-    fn id(&self) -> u32 {
+    /// Returns the id of the process that runs the instance.
+    fn process_id(&self) -> u32 {
         std::process::id()
     }
-    /// Has it do nothing at all, or go on. Threads of this process can't be frozen.
-    fn freeze(&mut self, _frozen: bool) {}
+    /// Suspends or resumes the instance. Does nothing for threads, which can't be suspended.
+    fn set_frozen(&mut self, _frozen: bool) {}
 }
 
-/// Starts things. Tests start processes, the demo starts threads.
+/// Starts instances. The tests start processes, the demo starts threads.
 pub trait Host {
-    fn member(&self, settings: &member::Settings) -> Box<dyn Running>;
-    fn platform(&self, settings: &platform::Settings) -> Box<dyn Running>;
-    fn node(&self, settings: &Run) -> Box<dyn Running>;
+    fn start_member(&self, settings: &member::Settings) -> Box<dyn Handle>;
+    fn start_platform(&self, settings: &platform::Settings) -> Box<dyn Handle>;
+    fn start_box(&self, settings: &Run) -> Box<dyn Handle>;
 }
 
-/// Starts threads.
+/// Starts instances as threads of this process.
 #[derive(Default)]
 pub struct Threads {
     pub decisions: Settings,
@@ -46,50 +46,50 @@
 struct Thread {
     kill: Option<oneshot::Sender<()>>,
     stop: Option<watch::Sender<bool>>,
-    handle: Option<JoinHandle<()>>,
+    join_handle: Option<JoinHandle<()>>,
 }
 
 impl Thread {
     fn start<F>(
         name: String,
         run: impl FnOnce(watch::Receiver<bool>) -> F + Send + 'static,
-    ) -> Box<dyn Running>
+    ) -> Box<dyn Handle>
     where
         F: Future<Output = anyhow::Result<()>> + 'static,
     {
         let (kill, killed) = oneshot::channel::<()>();
         let (stop, stopped) = watch::channel(false);
-        let body = move || {
+        let run_thread = move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()
                 .expect("a runtime can be built");
             let local = LocalSet::new();
             local.block_on(&runtime, async move {
-                let work = run(stopped);
+                let task = run(stopped);
                 tokio::select! {
-                    ended = work => if let Err(error) = ended { eprintln!("{error:#}") },
+                    result = task => if let Err(error) = result { eprintln!("{error:#}") },
                     _ = killed => {}
                 }
             });
         };
-        let handle = std::thread::Builder::new().name(name).spawn(body);
+        let handle = std::thread::Builder::new().name(name).spawn(run_thread);
         let handle = handle.expect("a thread can be started");
         Box::new(Self {
             kill: Some(kill),
             stop: Some(stop),
-            handle: Some(handle),
+            join_handle: Some(handle),
         })
     }
 
     fn join(&mut self) {
-        if let Some(handle) = self.handle.take() {
+        if let Some(handle) = self.join_handle.take() {
             let _ = handle.join();
         }
     }
 }
 
-impl Running for Thread {
+impl Handle for Thread {
     fn kill(&mut self) {
         if let Some(kill) = self.kill.take() {
             let _ = kill.send(());
@@ -112,17 +112,17 @@
 }
 
 impl Host for Threads {
-    fn member(&self, settings: &member::Settings) -> Box<dyn Running> {
+    fn start_member(&self, settings: &member::Settings) -> Box<dyn Handle> {
         let settings = settings.clone();
         Thread::start("member".to_owned(), move |_| serve_member(settings))
     }
 
-    fn platform(&self, settings: &platform::Settings) -> Box<dyn Running> {
+    fn start_platform(&self, settings: &platform::Settings) -> Box<dyn Handle> {
         let settings = settings.clone();
         Thread::start("platform".to_owned(), move |_| serve_platform(settings))
     }
 
-    fn node(&self, settings: &Run) -> Box<dyn Running> {
+    fn start_box(&self, settings: &Run) -> Box<dyn Handle> {
         let settings = settings.clone();
         let decisions = self.decisions;
         let name = format!("box-{}", settings.name);
--- a/tests/system/hostile.rs
+++ b/tests/system/hostile.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use larkfall::standin::faults::Faults;
-use larkfall::trial::cluster::{Cluster, Shape, until};
+use larkfall::trial::cluster::{Cluster, Shape, wait_until};
 use larkfall::trial::journal::Verdict;
 use larkfall::trial::workload::{Mix, Workload, create_tables};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -74,7 +74,7 @@
                 answer?.number()
             };
             // v1.0.0 is a valid floor that any replica meets, so the row may be seen late.
-            until("the row is read", async || read().await == Some(1))
+            wait_until("the row is read", async || read().await == Some(1))
                 .await
                 .expect("the row is read");
             let answer = roaming.query("SELECT count(*) FROM seed").await;
@@ -147,7 +147,7 @@
                 .await
                 .expect("switches");
             let target = reads_done(&workload) + 100;
-            until("reads are answered", async || {
+            wait_until("reads are answered", async || {
                 reads_done(&workload) >= target
             })
             .await
--- a/tests/system/many.rs
+++ b/tests/system/many.rs
@@ -7,7 +7,7 @@
 use larkfall::http::HttpError;
 use larkfall::standin::faults::Faults;
 use larkfall::trial::client::Client;
-use larkfall::trial::cluster::{Cluster, Shape, operator_token, until};
+use larkfall::trial::cluster::{Cluster, Shape, operator_token, wait_until};
 use serde_json::{Value, json};
 
 use super::support::{expect_clean, processes, start_load, wait_for_acks, with_cluster};
@@ -43,7 +43,7 @@
         let market = start_load(cluster, "market").await;
         let decks = start_load(cluster, "cards/decks").await;
         wait_for_acks(&market, 30).await;
-        cluster.members[0][0].running.kill();
+        cluster.members[0][0].handle.kill();
         wait_for_acks(&market, 30).await;
         wait_for_acks(&decks, 30).await;
         expect_that!(cluster.counter("larkfall_forwarded_total").await, gt(0.0));
@@ -65,7 +65,7 @@
             .await
             .expect("switches");
         wait_for_acks(&workload, 20).await;
-        cluster.members[0][0].running.kill();
+        cluster.members[0][0].handle.kill();
         wait_for_acks(&workload, 30).await;
         let refused = apply(cluster, 0, &[read_kind("late", 7)]).await;
         expect_that!(refused.is_err(), eq(true));
@@ -73,7 +73,7 @@
             .set_platform_faults(&Faults::default())
             .await
             .expect("switches");
-        until("changes are accepted again", async || {
+        wait_until("changes are accepted again", async || {
             apply(cluster, 1, &[read_kind("late", 7)]).await.is_ok()
         })
         .await
@@ -93,7 +93,7 @@
                 read_kind("kept", age),
                 read_kind(&format!("lost-{age}"), age),
             ];
-            until("a change is accepted", async || {
+            wait_until("a change is accepted", async || {
                 apply(cluster, 0, &changes).await.is_ok()
             })
             .await
@@ -105,7 +105,7 @@
             found.is_some_and(|found| found["spec"]["max_age_ms"] == json!(age))
         };
         for i in 0..9 {
-            until("the change is in force", async || is_in_force(i, 7).await)
+            wait_until("the change is in force", async || is_in_force(i, 7).await)
                 .await
                 .expect("the change is in force");
         }
@@ -113,13 +113,13 @@
             .restore_platform(older_copy)
             .await
             .expect("restores");
-        until("a change is accepted again", async || {
+        wait_until("a change is accepted again", async || {
             apply(cluster, 1, &[read_kind("kept", 70)]).await.is_ok()
         })
         .await
         .expect("a change is accepted again");
         for i in 0..9 {
-            until("the change is in force", async || is_in_force(i, 70).await)
+            wait_until("the change is in force", async || is_in_force(i, 70).await)
                 .await
                 .expect("the change is in force");
         }
@@ -142,10 +142,10 @@
                 .set_platform_faults(&refuse)
                 .await
                 .expect("switches");
-            cluster.boxes[2].running.kill();
+            cluster.boxes[2].handle.kill();
             let restarted = cluster.start_box(&processes(), 2);
             cluster.boxes[2] = restarted;
-            until("the box serves", async || {
+            wait_until("the box serves", async || {
                 let client = cluster.connect(2, "market", None).await;
                 match client {
                     Ok(mut client) => client.query("SELECT 1").await.is_ok(),
@@ -170,7 +170,7 @@
                 .await
                 .expect("is accepted");
             let revision = first["revision"].as_u64().expect("has a revision");
-            cluster.in_force(revision).await.expect("in force");
+            cluster.wait_for_revision(revision).await.expect("in force");
             for round in 0..10 {
                 let (a, b) = (
                     [read_kind("panel", 100 + round)],
@@ -196,7 +196,7 @@
                     .into_iter()
                     .filter_map(|r| r.ok()?["revision"].as_u64());
                 cluster
-                    .in_force(revisions.max().expect("one was accepted"))
+                    .wait_for_revision(revisions.max().expect("one was accepted"))
                     .await
                     .expect("in force");
             }
@@ -258,7 +258,7 @@
         let revision = applied.expect("is accepted")["revision"]
             .as_u64()
             .expect("has a revision");
-        cluster.in_force(revision).await.expect("in force");
+        cluster.wait_for_revision(revision).await.expect("in force");
         let repeated = apply(cluster, 3, &change).await.expect("is accepted");
         expect_that!(repeated["plan"][0]["action"].as_str(), some(eq("keep")));
     });
@@ -281,13 +281,13 @@
                 }
             }
             apply(cluster, 0, &declared).await.expect("is accepted");
-            until("another member is primary", async || {
+            wait_until("another member is primary", async || {
                 cluster.primary(0).await.is_some_and(|primary| primary != 0)
             })
             .await
             .expect("another member is primary");
             wait_for_acks(&workload, 20).await;
-            until("the leaving member is idle", async || {
+            wait_until("the leaving member is idle", async || {
                 let mut running = 0;
                 for i in 0..3 {
                     let dump = cluster.dump(i).await.unwrap_or_default();
@@ -317,10 +317,10 @@
             let workload = start_load(cluster, "market").await;
             for i in 0..4 {
                 wait_for_acks(&workload, 20).await;
-                cluster.boxes[i].running.stop();
+                cluster.boxes[i].handle.stop();
                 let restarted = cluster.start_box(&processes(), i as u8);
                 cluster.boxes[i] = restarted;
-                until("the box serves again", async || {
+                wait_until("the box serves again", async || {
                     cluster.connect(i, "market", None).await.is_ok()
                 })
                 .await
@@ -361,7 +361,7 @@
             let (primary, members) = (0, &mut cluster.members);
             let kill = async {
                 tokio::task::yield_now().await;
-                members[0][primary].running.kill();
+                members[0][primary].handle.kill();
             };
             let (tags, ()) = tokio::join!(requests, kill);
             let answers: BTreeSet<String> = tags.into_iter().flatten().collect();
@@ -392,7 +392,7 @@
                 declared[0]["spec"]["owners"] = json!(owners);
                 let done = apply(cluster, 0, &declared).await.expect("is accepted");
                 let revision = done["revision"].as_u64().expect("has a revision");
-                cluster.in_force(revision).await.expect("in force");
+                cluster.wait_for_revision(revision).await.expect("in force");
                 wait_for_acks(&workload, 15).await;
             }
             expect_clean(workload).await;
@@ -402,7 +402,7 @@
                 owners += dump["groups"].as_array().map_or(0, Vec::len);
             }
             expect_that!(owners, eq(1));
-            until(
+            wait_until(
                 "boxes without a group have closed their connections",
                 async || {
                     let mut idle = 0;
