--- a/src/borders/member.rs
+++ b/src/borders/member.rs
@@ -78,9 +78,8 @@
     pub term: u64,
     /// Term that the election replaces. A member that follows a later term is not fenced.
     pub replaced: u64,
-    /// Highest promised term known when the election began. Where members don't arbitrate
-    /// between elections, a member that has promised a higher term since is left to that
-    /// term's election.
+    /// Highest promised term known when the election began. Where members don't decide between
+    /// elections, a member that has since promised a higher term is not fenced either.
     pub known_promise: u64,
 }
 
--- a/src/borders/roster.rs
+++ b/src/borders/roster.rs
@@ -36,8 +36,7 @@
 /// The platform's list of live and leaving boxes.
 #[async_trait(?Send)]
 pub trait Roster {
-    /// Returns the list, or none if its tag is still `tag`, which saves reading a list of
-    /// hundreds of boxes each time.
+    /// Returns the list, or none if its tag is still `tag`.
     async fn boxes(&self, tag: &str) -> Result<Option<Listings>, TableError>;
     /// Whether the list has been read at least once.
     fn is_loaded(&self) -> bool {
--- a/src/borders/table.rs
+++ b/src/borders/table.rs
@@ -118,12 +118,13 @@
 /// How a box polls the table for changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Polling {
-    /// Doesn't poll, as a reader passes changes on.
+    /// Doesn't poll: another box reads the table and passes on its changes.
     Paused,
     /// Polls for itself.
     #[default]
     Normal,
-    /// Polls for its followers too, who need to know that the table still answers.
+    /// Polls often: other boxes get the changes from this one, and need to know that the table
+    /// still answers.
     Frequent,
 }
 
--- a/src/platform/callers.rs
+++ b/src/platform/callers.rs
@@ -28,7 +28,7 @@
 
 /// Time within which a caller must send its CONNECT line.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Retry delay sent to callers that reach this box after the balancer should have turned them
+/// Retry delay sent to callers that still reach this box although the balancer should route them
 /// to other boxes. The balancer checks readiness every second.
 const ELSEWHERE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
@@ -92,9 +92,9 @@
         return refuse(&mut channel, code::NO_DATABASE, "no such database").await;
     };
     let key: Arc<str> = secret::hash(key).into();
-    if let Err(stranger) = context.authenticate(&declared, &key) {
+    if let Err(error) = context.authenticate(&declared, &key) {
         context.metrics.strangers.add(1, &[]);
-        return refuse(&mut channel, code::NO_KEY, &stranger.to_string()).await;
+        return refuse(&mut channel, code::NO_KEY, &error.to_string()).await;
     }
     if context.is_not_ready_for(context.settings.max_balancer_delay) {
         // Refused before READY: closing a started session would look like a lost answer.
@@ -187,17 +187,17 @@
         loop {
             // Idle sessions are closed only once the balancer sends no callers to this box, so
             // that they reconnect to another box.
-            let turned_away = self
+            let not_ready = self
                 .context
                 .wait_until_not_ready_for(self.context.settings.max_balancer_delay);
             let idle = self.open.is_none();
             let line = tokio::select! {
                 biased;
                 line = self.channel.read() => line,
-                () = turned_away, if idle => return Ok(()),
+                () = not_ready, if idle => return Ok(()),
             };
             let line = match line {
-                Err(error @ (LineError::TooLong | LineError::NoText)) => {
+                Err(error @ (LineError::TooLong | LineError::NotUtf8)) => {
                     let text = error.to_string();
                     refuse(&mut self.channel, code::MALFORMED, &text).await?;
                     return Err(error);
@@ -279,8 +279,8 @@
         Ok(outcome)
     }
 
-    /// Handles a statement in a failed transaction: only COMMIT and ROLLBACK are accepted, and
-    /// both roll back.
+    /// Handles a statement in a failed transaction: only COMMIT and ROLLBACK are accepted; both
+    /// roll back.
     fn end_failed_transaction(&mut self, statement: Statement<'_>) -> Outcome {
         let commits = statement == Statement::Commit;
         if !commits && statement != Statement::Rollback {
@@ -423,8 +423,9 @@
             .open
             .as_ref()
             .and_then(|open| open.unsent_opening.clone());
-        let starts = begin.is_none() || opening.is_some();
-        if let Some(workspace) = workspace.as_ref().filter(|_| starts) {
+        // The later statements of a transaction are admitted with its first statement.
+        let needs_admission = begin.is_none() || opening.is_some();
+        if let Some(workspace) = workspace.as_ref().filter(|_| needs_admission) {
             let target = Duration::from_millis(database.target_ms);
             let admitted = tokio::select! {
                 admitted = self.context.admit(workspace, target) => admitted,
@@ -435,7 +436,7 @@
                 return Ok(self.record_outcome(Err(failure), effect, commits));
             }
         }
-        let work = Request {
+        let request = Request {
             database: &database,
             workspace: workspace.as_deref(),
             intent: Intent {
@@ -452,13 +453,13 @@
             payload: Bytes::from(format!("{id} {text}")),
         };
         let served = tokio::select! {
-            served = self.session.serve_request(work) => served,
+            served = self.session.serve_request(request) => served,
             error = self.channel.closed() => return Err(error),
         };
         Ok(self.record_outcome(served, effect, commits))
     }
 
-    /// Updates the transaction's state with the outcome of a statement.
+    /// Updates the transaction's state with the result of a statement, and returns the answer.
     fn record_outcome(
         &mut self,
         served: Result<Reply, Failure>,
--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -26,7 +26,7 @@
 const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Interval between status polls of a member that is being promoted.
 const PROMOTION_POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// Status polls after which a promotion counts as failed.
+/// Status polls after which a promotion counts as timed out.
 const MAX_PROMOTION_POLLS: u32 = 50;
 
 /// Creates the control handles of members.
@@ -129,7 +129,7 @@
     let invalid = || MemberError::InvalidAnswer(lines.to_owned());
     let row = lines.strip_prefix("DATA ").ok_or_else(invalid)?;
     let fields: Vec<&str> = row.split_whitespace().collect();
-    let [role, term, received, held, ..] = fields[..] else {
+    let [role, term, received, promised, ..] = fields[..] else {
         return Err(invalid());
     };
     let role = match role {
@@ -138,18 +138,18 @@
         _ => return Err(invalid()),
     };
     let term: u64 = term.parse().map_err(|_| invalid())?;
-    let held: u64 = held.parse().map_err(|_| invalid())?;
+    let promised: u64 = promised.parse().map_err(|_| invalid())?;
     let received = parse_position(received).unwrap_or_default();
     let applied = applied.unwrap_or_default().index.min(received.index);
     // A member that reports a term has that term's history even before its first entry. A
     // member that received entries of a later term has left the earlier term's history, even
     // if it doesn't report the later term yet.
-    let follows = term.max(received.term);
+    let log_term = term.max(received.term);
     Ok(Status {
-        promised: follows.max(held),
+        promised: log_term.max(promised),
         role,
-        log: Position::new(follows, received.index),
-        applied: Position::new(follows, applied),
+        log: Position::new(log_term, received.index),
+        applied: Position::new(log_term, applied),
         stream: Stream::None,
     })
 }
@@ -160,10 +160,12 @@
         self.run_command("STATUS").await
     }
 
-    async fn fence(&self, bid: &Fence) -> Result<Status, MemberError> {
-        let term = bid.term;
+    async fn fence(&self, fence: &Fence) -> Result<Status, MemberError> {
+        let term = fence.term;
         let known = self.status().await?;
-        if known.log.term > bid.replaced || known.promised > bid.known_promise.max(bid.replaced) {
+        if known.log.term > fence.replaced
+            || known.promised > fence.known_promise.max(fence.replaced)
+        {
             let promised = known.promised;
             return Err(MemberError::Fenced { promised });
         }
@@ -188,17 +190,17 @@
         &self,
         term: u64,
         order: &Order,
-        stands: &dyn Fn() -> bool,
+        holds_duty: &dyn Fn() -> bool,
     ) -> Result<Status, MemberError> {
         let before = self.status().await?;
-        // The fence may be gone: a restart forgets it, and another box's fence replaces it.
-        // Another box's promotion may have led to the same term.
+        // The fence may have been lost in a restart or replaced by another box's fence, or another
+        // box's promotion may have reached the same term.
         if before.promised != term || before.log.term >= term {
             return Err(MemberError::Fenced {
                 promised: before.promised,
             });
         }
-        if !stands() {
+        if !holds_duty() {
             return Err(MemberError::Superseded);
         }
         let ordered = self.order_promotion(order).await;
@@ -222,7 +224,7 @@
     async fn follow(&self, term: u64, _: &Address) -> Result<Status, MemberError> {
         let status = self.run_command(&format!("STEPDOWN {term}")).await?;
         if status.promised > status.log.term {
-            // A promotion ends only the fence of the promoted member.
+            // A promotion releases only the fence of the promoted member.
             return self.run_command("RESUME").await;
         }
         Ok(status)
--- a/src/platform/line.rs
+++ b/src/platform/line.rs
@@ -21,7 +21,7 @@
     #[error("a line of more than {MAX_LINE_BYTES} bytes")]
     TooLong,
     #[error("a line that is no text")]
-    NoText,
+    NotUtf8,
 }
 
 /// One end of a connection, with its input buffer.
@@ -73,7 +73,7 @@
             return Err(LineError::TooLong);
         }
         let text = String::from_utf8(line.to_vec());
-        text.map(Some).map_err(|_| LineError::NoText)
+        text.map(Some).map_err(|_| LineError::NotUtf8)
     }
 
     async fn fill(&mut self) -> Result<(), LineError> {
--- a/src/platform/member_entry.rs
+++ b/src/platform/member_entry.rs
@@ -46,7 +46,7 @@
 #[serde(rename_all = "lowercase")]
 enum State {
     Ready,
-    /// The member is leaving and asks for no new work.
+    /// The member is leaving and should get no new requests.
     Draining,
 }
 
--- a/src/platform/node_file.rs
+++ b/src/platform/node_file.rs
@@ -311,7 +311,7 @@
         (self.bounds.quota_slack * QUOTA_TOLERANCE_SHARE).clamp(0.0, MAX_LIMIT_SLACK) as u32
     }
 
-    fn apply(&self) -> Duration {
+    fn apply_deadline(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.config_apply_ms.max(0.0) / 1_000.0)
     }
 
@@ -339,7 +339,7 @@
             duty: true,
             share_table_reads: true,
             link_mbps: self.limits.link_mbps as u32,
-            apply_deadline: self.apply(),
+            apply_deadline: self.apply_deadline(),
             limit_slack: self.limit_slack(),
             limit_overage: self.limit_overage(),
             queue_over_limit: self.has_contract(PRESSURE_CONTRACT),
--- a/src/platform/ports.rs
+++ b/src/platform/ports.rs
@@ -22,15 +22,15 @@
     let store = Store::new(client.clone(), file.platform.address.clone());
     let reader_settings = readers::Settings::new(run.apply_deadline, run.first_start);
     let settings = table::Settings {
-        apply: run.apply_deadline,
-        start_at_rest: run.share_table_reads,
+        apply_deadline: run.apply_deadline,
+        start_paused: run.share_table_reads,
         roster_delay: reader_settings.roster_wait,
     };
     let metrics: Rc<Metrics> = Rc::default();
     let mirror = Mirror::start(store, settings, metrics.clone(), log.clone());
     let dialer = LineDialer {
         from: file.ip,
-        wait: run.connect_timeout,
+        connect_timeout: run.connect_timeout,
     };
     let (cloud_api, control_client) = (file.cloud_api.address.clone(), client.clone());
     let controls = move |pool: &Rc<_>| -> Rc<dyn crate::borders::member::Members> {
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -27,7 +27,7 @@
         replace: Replace {
             // Long enough for the next box in rank to see the claim and the fences.
             stagger: Duration::from_millis(250),
-            // Each question also costs the peers an answer.
+            // Each poll also makes the peers answer.
             poll_interval: Duration::from_millis(150),
             // Covers a status and a fence, each behind a full queue.
             ballot_timeout: Duration::from_millis(1_200),
@@ -67,7 +67,7 @@
         serve_leaving: true,
         // Members renew a lapsed entry well within this time.
         missing_grace: Duration::from_secs(3),
-        // About one statement: the primary's slots are kept for writes.
+        // About the time of one statement: the primary's slots are kept for writes.
         primary_cost: Some(Duration::from_millis(25)),
         wait_until_deadline: true,
         idle_connections_percent: 50,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -83,10 +83,10 @@
         Ok(rows)
     }
 
-    /// Checks that the rows have the era of `asked`. Versions of different eras can't be
+    /// Checks that the rows have the era of `requested`. Versions of different eras can't be
     /// compared, since a store that was replaced by an older copy assigns them again.
-    fn check_era(&self, asked: Revision) -> Result<(), StoreError> {
-        match self.revision.era() == asked.era() {
+    fn check_era(&self, requested: Revision) -> Result<(), StoreError> {
+        match self.revision.era() == requested.era() {
             true => Ok(()),
             false => Err(StoreError::EraChanged),
         }
@@ -104,7 +104,7 @@
     /// The store was replaced by an older copy of itself.
     #[error("another copy has taken the store's place meanwhile")]
     EraChanged,
-    /// Conditions of a transaction do not hold; lists the rows concerned as they are now.
+    /// Conditions of a transaction do not hold; lists the current state of the rows concerned.
     #[error("a condition does not hold")]
     ConditionFailed(Vec<(Arc<str>, Revision, Option<Vec<u8>>)>),
     #[error("nonsense: {0}")]
@@ -240,7 +240,7 @@
             puts: puts.collect(),
             remove: remove.collect(),
         };
-        let body = serde_json::to_vec(&transaction).expect("a transaction is plain data");
+        let body = serde_json::to_vec(&transaction).expect("a transaction can be serialized");
         let call = Call {
             method: Method::POST,
             address: &self.address,
@@ -255,8 +255,8 @@
         Ok(Revision::new(era, committed.version))
     }
 
-    async fn fetch_rows(&self, path: &str, wait: Duration) -> Result<Rows, StoreError> {
-        let (body, era) = self.call(Call::get(&self.address, path, wait)).await?;
+    async fn fetch_rows(&self, path: &str, timeout: Duration) -> Result<Rows, StoreError> {
+        let (body, era) = self.call(Call::get(&self.address, path, timeout)).await?;
         Rows::parse(&body, era)
     }
 
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -36,11 +36,12 @@
 /// again, which takes at least four seconds.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(2_000);
 /// Backoff of the other feeds while the operator's feed fails too: one probe per box is enough to
-/// notice that the store is back. They still retry by themselves, since single tables may fail.
+/// notice that the store is back. The other feeds still retry, since single tables may fail.
 const OUTAGE_RETRY_DELAY: Duration = Duration::from_millis(3_000);
 /// Errors after which the backoff grows no more.
 const MAX_DOUBLINGS: u32 = 8;
-/// Interval at which the table reports possible news during an outage, so that peers are asked.
+/// Interval at which [`Table::wait_for_changes`] returns during an outage, so that the caller asks
+/// peers for changes.
 const OUTAGE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Cached view of the store that follows its changes.
@@ -55,7 +56,7 @@
     full_reads: Cell<usize>,
     /// Whether the list of boxes was read.
     roster_read: Cell<bool>,
-    pace: watch::Sender<Polling>,
+    polling: watch::Sender<Polling>,
     /// When the operator's feed last answered.
     operator_answered: Cell<Option<Instant>>,
     settings: Settings,
@@ -68,9 +69,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Time within which an accepted change must be in force.
-    pub apply: Duration,
-    /// Whether only the list of boxes is read until [`Table::set_pace`] changes the pace.
-    pub start_at_rest: bool,
+    pub apply_deadline: Duration,
+    /// Whether only the list of boxes is read until [`Table::set_polling`] starts polling.
+    pub start_paused: bool,
     /// Delay before the list of boxes is first read.
     pub roster_delay: Duration,
 }
@@ -78,8 +79,8 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            apply: Duration::from_secs(3),
-            start_at_rest: false,
+            apply_deadline: Duration::from_secs(3),
+            start_paused: false,
             roster_delay: Duration::ZERO,
         }
     }
@@ -88,7 +89,7 @@
 impl Mirror {
     /// Starts to follow the store.
     pub fn start(store: Store, settings: Settings, metrics: Rc<Metrics>, log: Logger) -> Rc<Self> {
-        let pace = match settings.start_at_rest {
+        let polling = match settings.start_paused {
             true => Polling::Paused,
             false => Polling::default(),
         };
@@ -100,7 +101,7 @@
             answering: RefCell::default(),
             full_reads: Cell::new(0),
             roster_read: Cell::new(false),
-            pace: watch::channel(pace).0,
+            polling: watch::channel(polling).0,
             operator_answered: Cell::new(None),
             settings,
             metrics,
@@ -136,8 +137,8 @@
         let mut first = true;
         loop {
             let before = Instant::now();
-            let rested = self.wait_until_due(feed, std::mem::take(&mut first)).await;
-            if rested {
+            let was_paused = self.wait_until_due(feed, std::mem::take(&mut first)).await;
+            if was_paused {
                 gap.open(before);
             }
             // After the store was replaced by an older copy, revisions of the old era are
@@ -148,14 +149,14 @@
             {
                 gap.start_era();
             }
-            // After an error the answer shows that the store is back, after a rest what was
-            // missed: neither may wait for a change.
-            let wait = match self.answering.borrow().contains(&feed) && !rested {
-                true => feed.long_poll_wait(self.pace(), self.settings.apply),
+            // The first call after an error or a pause returns at once: its answer shows that the
+            // store is back, or which changes were missed.
+            let wait = match self.answering.borrow().contains(&feed) && !was_paused {
+                true => feed.long_poll_wait(self.polling(), self.settings.apply_deadline),
                 false => Duration::ZERO,
             };
-            let asked = Instant::now();
-            let cause = call_cause(after, errors, rested);
+            let called = Instant::now();
+            let cause = call_cause(after, errors, was_paused);
             self.metrics.count_store_call(feed.table(), cause);
             let read = match after {
                 None => self.store.read_all(feed.table()).await,
@@ -183,13 +184,13 @@
                     }
                 }
                 Err(StoreError::HistoryGone | StoreError::EraChanged) => {
-                    gap.open_unanswered(asked, wait);
+                    gap.open_unanswered(called, wait);
                     // A revision of an older era is dropped at the start of the loop.
                     after = after.filter(|known| !self.store.is_current(*known));
                     tokio::time::sleep(jittered(FIRST_RETRY_DELAY)).await;
                 }
                 Err(error) => {
-                    gap.open_unanswered(asked, wait);
+                    gap.open_unanswered(called, wait);
                     self.record_health(feed, Some(&error));
                     self.back_off(feed, errors).await;
                     errors += 1;
@@ -198,14 +199,14 @@
         }
     }
 
-    /// Waits until a feed is to be read. Returns whether peers reported changes meanwhile.
+    /// Waits until a feed should be read. Returns whether peers reported changes meanwhile.
     async fn wait_until_due(&self, feed: Feed, first: bool) -> bool {
         if feed == Feed::Boxes && first {
-            // Read even at rest: the list tells a box which boxes to follow.
+            // Read even while polling is paused: the list tells a box which boxes to follow.
             tokio::time::sleep(self.settings.roster_delay).await;
             return false;
         }
-        self.wait_while_resting().await
+        self.wait_while_paused().await
     }
 
     /// Records that a feed has answered; `whole` means a full read.
@@ -224,37 +225,40 @@
     async fn back_off(&self, feed: Feed, errors: u32) {
         let doubled = FIRST_RETRY_DELAY * 2_u32.saturating_pow(errors.min(MAX_DOUBLINGS));
         let delay = jittered(doubled.min(MAX_RETRY_DELAY));
-        let down = !self.answering.borrow().contains(&Feed::Operator);
-        if feed == Feed::Operator || !down || errors == 0 {
+        let operator_down = !self.answering.borrow().contains(&Feed::Operator);
+        if feed == Feed::Operator || !operator_down || errors == 0 {
             return tokio::time::sleep(delay).await;
         }
         let mut recoveries = self.recoveries.subscribe();
         recoveries.mark_unchanged();
-        let back = tokio::time::timeout(jittered(OUTAGE_RETRY_DELAY), recoveries.changed()).await;
-        if back.is_ok() {
+        let recovered =
+            tokio::time::timeout(jittered(OUTAGE_RETRY_DELAY), recoveries.changed()).await;
+        if recovered.is_ok() {
             tokio::time::sleep(jittered(FIRST_RETRY_DELAY)).await;
         }
     }
 
-    fn pace(&self) -> Polling {
-        *self.pace.borrow()
+    fn polling(&self) -> Polling {
+        *self.polling.borrow()
     }
 
-    /// Waits while peers report changes instead of the store. Returns whether it had to wait.
-    async fn wait_while_resting(&self) -> bool {
-        let rests = self.pace() == Polling::Paused;
-        let mut pace = self.pace.subscribe();
-        let awake = pace.wait_for(|pace| *pace != Polling::Paused).await;
-        awake.expect("the sender is dropped with the mirror");
-        rests
+    /// Waits while peers report changes instead of the store. Returns whether it waited.
+    async fn wait_while_paused(&self) -> bool {
+        let was_paused = self.polling() == Polling::Paused;
+        let mut polling = self.polling.subscribe();
+        let resumed = polling
+            .wait_for(|polling| *polling != Polling::Paused)
+            .await;
+        resumed.expect("the sender is dropped with the mirror");
+        was_paused
     }
 
-    /// Waits until the pace calls for shorter polls than `wait`.
+    /// Waits until the polling mode requires shorter polls than `wait`.
     async fn wait_for_shorter_poll(&self, wait: Duration, feed: Feed) {
-        let mut pace = self.pace.subscribe();
-        let apply = self.settings.apply;
-        let shorter = pace
-            .wait_for(|pace| feed.long_poll_wait(*pace, apply) < wait)
+        let mut polling = self.polling.subscribe();
+        let apply_deadline = self.settings.apply_deadline;
+        let shorter = polling
+            .wait_for(|polling| feed.long_poll_wait(*polling, apply_deadline) < wait)
             .await;
         shorter.expect("the sender is dropped with the mirror");
     }
@@ -289,7 +293,7 @@
 
     /// Whether the store answers, or peers answer for it.
     fn is_up(&self) -> bool {
-        if self.pace() == Polling::Paused {
+        if self.polling() == Polling::Paused {
             return true;
         }
         let answering = self.answering.borrow();
@@ -316,11 +320,11 @@
 }
 
 /// Returns why the store is called, as a metrics label.
-fn call_cause(after: Option<Revision>, errors: u32, rested: bool) -> &'static str {
+fn call_cause(after: Option<Revision>, errors: u32, was_paused: bool) -> &'static str {
     match (after, errors) {
         (None, 0) => "start",
         (_, 1..) => "retry",
-        _ if rested => "stale",
+        _ if was_paused => "stale",
         _ => "wait",
     }
 }
@@ -340,8 +344,9 @@
 #[async_trait(?Send)]
 impl Table for Mirror {
     async fn head(&self) -> Result<Revision, TableError> {
-        let all = self.pace() == Polling::Paused || self.full_reads.get() >= Feed::ALL.len();
-        match self.is_up() && all {
+        let all_read =
+            self.polling() == Polling::Paused || self.full_reads.get() >= Feed::ALL.len();
+        match self.is_up() && all_read {
             true => Ok(self.cache.borrow().head()),
             false => Err(TableError::Unavailable(
                 "the store gives no answer".to_owned(),
@@ -351,7 +356,7 @@
 
     async fn scan(&self, _: Revision) -> Result<Scan, TableError> {
         let changes = self.cache.borrow_mut().take_changes();
-        // Members without databases would pass for the complete configuration.
+        // Without the manifest, the members would be taken for the complete configuration.
         changes.ok_or_else(|| TableError::Unavailable("the manifest was not read yet".to_owned()))
     }
 
@@ -391,22 +396,22 @@
         }
     }
 
-    fn set_polling(&self, pace: Polling) {
-        let changed = self.pace.send_if_modified(|known| {
-            let changed = *known != pace;
-            *known = pace;
+    fn set_polling(&self, polling: Polling) {
+        let changed = self.polling.send_if_modified(|known| {
+            let changed = *known != polling;
+            *known = polling;
             changed
         });
         if changed {
-            // Whether the table answers depends on the pace.
+            // Whether the table counts as up depends on the polling mode.
             self.changed.notify_one();
         }
     }
 
     fn answer_age(&self) -> Option<Duration> {
-        let reads = self.is_up() && self.pace() != Polling::Paused;
-        let heard = self.operator_answered.get().filter(|_| reads)?;
-        Some(heard.elapsed())
+        let reads = self.is_up() && self.polling() != Polling::Paused;
+        let answered = self.operator_answered.get().filter(|_| reads)?;
+        Some(answered.elapsed())
     }
 
     fn has_ordered_revisions(&self) -> bool {
@@ -430,11 +435,11 @@
         .into_iter()
         .map(|(key, revision, value)| (key, (revision, value)))
         .collect();
-    let done = |change: &Change| {
+    let already_applied = |change: &Change| {
         let row = found.get(&change.key);
         row.is_some_and(|(_, value)| *value == change.value && value.is_some())
     };
-    if !changes.is_empty() && changes.iter().all(done) {
+    if !changes.is_empty() && changes.iter().all(already_applied) {
         let newest = found.values().map(|(revision, _)| *revision).max();
         return Verdict::Done(newest.unwrap_or_default());
     }
@@ -442,12 +447,14 @@
         let row = found.get(key);
         row.map_or(Revision::NONE, |(revision, _)| *revision)
     };
-    let other = changes.iter().find(|change| {
+    let conflicting = changes.iter().find(|change| {
         change
             .expect
             .is_some_and(|expect| expect != revision(&change.key))
     });
-    let key = other.or(changes.first()).map(|change| change.key.clone());
+    let key = conflicting
+        .or(changes.first())
+        .map(|change| change.key.clone());
     let key = key.unwrap_or_default();
     let found = revision(&key);
     Verdict::Conflict { key, found }
--- a/src/platform/table/cache.rs
+++ b/src/platform/table/cache.rs
@@ -43,7 +43,7 @@
     unreadable: BTreeSet<(Feed, Arc<str>)>,
     /// Keys of derived rows that changed since [`Cache::take_changes`].
     changed: BTreeSet<Arc<str>>,
-    /// Earliest write of the members' rows among them.
+    /// Earliest time at which the members' rows among them may have been written.
     members_written: Option<Written>,
     /// Sections that the next [`Cache::take_changes`] returns in full.
     whole: BTreeSet<Section>,
@@ -148,8 +148,8 @@
                     .map_or(written, |known| known.min(written)),
             );
         }
-        let read = self.known_until.entry(feed.section()).or_default();
-        *read = revision.max(*read);
+        let known = self.known_until.entry(feed.section()).or_default();
+        *known = revision.max(*known);
         changed
     }
 
@@ -161,16 +161,16 @@
         revision: Revision,
     ) -> bool {
         self.whole.insert(feed.section());
-        let gone = |(s, key): &&(Feed, Arc<str>)| *s == feed && !listed.contains(key);
-        let gone: Vec<_> = self.stored.keys().filter(gone).cloned().collect();
-        for (_, key) in &gone {
+        let removed = |(s, key): &&(Feed, Arc<str>)| *s == feed && !listed.contains(key);
+        let removed: Vec<_> = self.stored.keys().filter(removed).cloned().collect();
+        for (_, key) in &removed {
             self.store_row(feed, key, revision, None);
         }
         if feed == Feed::Boxes {
             // A box may have been removed, which no row of a full read shows.
             self.roster_revision = self.roster_revision.max(revision);
         }
-        !gone.is_empty()
+        !removed.is_empty()
     }
 
     fn apply_row(&mut self, feed: Feed, row: StoredRow) -> bool {
@@ -206,13 +206,13 @@
         revision: Revision,
         value: Option<Vec<u8>>,
     ) {
-        let place = (feed, key.clone());
+        let stored_key = (feed, key.clone());
         let known = match &value {
-            Some(bytes) => self.stored.insert(place, (revision, bytes.clone())),
-            None => self.stored.remove(&place),
+            Some(bytes) => self.stored.insert(stored_key, (revision, bytes.clone())),
+            None => self.stored.remove(&stored_key),
         };
         if value.is_none() && known.is_none() {
-            // Other boxes may know the removed row, but what it declared is unknown here.
+            // Other boxes may know the rows that the removed row declared; this box doesn't.
             self.whole.insert(feed.section());
         }
         match feed {
@@ -243,8 +243,8 @@
         self.manifest_version = Some(version);
         self.whole.insert(Section::Declarations);
         let declared = |key: &str| Section::of(key) == Section::Declarations;
-        // Uses the operator's version, not the store's revision: an older copy of the store
-        // resets the latter, and would restore removed declarations.
+        // Uses the operator's version, since an older copy of the store resets the store's
+        // revision: removed declarations would return.
         let revision = Revision::from_operator(version);
         self.replace_declared(declared, rows_of(manifest.declarations()), revision);
     }
@@ -280,9 +280,9 @@
         declared: BTreeMap<Arc<str>, Value>,
         revision: Revision,
     ) {
-        let gone = |key: &&Arc<str>| is_owned(key) && !declared.contains_key(*key);
-        let gone: Vec<Arc<str>> = self.rows.keys().filter(gone).cloned().collect();
-        for key in gone {
+        let removed = |key: &&Arc<str>| is_owned(key) && !declared.contains_key(*key);
+        let removed: Vec<Arc<str>> = self.rows.keys().filter(removed).cloned().collect();
+        for key in removed {
             self.put_if_changed(key, revision, None);
         }
         for (key, value) in declared {
--- a/src/platform/table/feed.rs
+++ b/src/platform/table/feed.rs
@@ -4,9 +4,9 @@
 
 use crate::borders::table::{Polling, Section};
 
-/// Long polls within the time in which a change must be in force, for a box that also reads for
-/// others. Each poll's end confirms their view, which must not go stale before the next one.
-const BRISK_POLLS_PER_APPLY: u32 = 3;
+/// Long polls per apply deadline of a box that other boxes follow. The end of each poll confirms
+/// that the followers' configuration is current, which must not expire before the next one.
+const FREQUENT_POLLS_PER_APPLY_DEADLINE: u32 = 3;
 
 /// A table of the store that a box follows, by who writes its rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,14 +41,16 @@
     }
 
     /// Returns how long one long poll waits, given that a change must be in force within
-    /// `apply`. A poll that the store has lost is noticed only at its end, so urgent tables use
-    /// shorter polls. Each poll costs a call.
-    pub fn long_poll_wait(self, pace: Polling, apply: Duration) -> Duration {
-        match (self, pace) {
-            // The end of each poll shows the boxes that follow this one that the store answers.
-            (Feed::Operator, Polling::Frequent) => apply / BRISK_POLLS_PER_APPLY,
+    /// `apply_deadline`. A poll that the store has lost is noticed only at its end, so urgent
+    /// tables use shorter polls, at the cost of more calls.
+    pub fn long_poll_wait(self, polling: Polling, apply_deadline: Duration) -> Duration {
+        match (self, polling) {
+            // The end of each poll shows this box's followers that the store answers.
+            (Feed::Operator, Polling::Frequent) => {
+                apply_deadline / FREQUENT_POLLS_PER_APPLY_DEADLINE
+            }
             (Feed::Operator, _) => Duration::from_secs(8),
-            (Feed::Members, Polling::Frequent) => apply,
+            (Feed::Members, Polling::Frequent) => apply_deadline,
             (Feed::Members, _) => Duration::from_secs(12),
             (Feed::Boxes, _) => Duration::from_secs(25),
         }
--- a/src/platform/table/watch_gap.rs
+++ b/src/platform/table/watch_gap.rs
@@ -32,23 +32,24 @@
 }
 
 impl Gap {
-    /// Notes that changes may have gone unnoticed since this time.
+    /// Records that changes may have gone unnoticed since this time.
     pub fn open(&mut self, since: Instant) {
         self.since = Some(self.since.map_or(since, |known| known.min(since)));
     }
 
-    /// Notes that a call brought no answer; `asked` is when it was made, `wait` how long the
-    /// store may hold the answer back.
+    /// Records that a call made at `called` was not answered. `wait` is how long the store may
+    /// hold back the answer.
     ///
-    /// Within the wait, a lost connection may have been silent for up to [`SILENCE`]. Past the
-    /// wait, the store may have held changes back since the call.
-    pub fn open_unanswered(&mut self, asked: Instant, wait: Duration) {
-        let overdue = asked.elapsed() > wait;
-        let silence_start = Instant::now().checked_sub(DEAD_CONNECTION_TIMEOUT);
-        self.open(silence_start.filter(|_| !overdue).unwrap_or(asked));
+    /// A connection lost within `wait` is detected after [`DEAD_CONNECTION_TIMEOUT`], so changes
+    /// may have been missed for that long. After `wait`, the store may have held back changes
+    /// since the call.
+    pub fn open_unanswered(&mut self, called: Instant, wait: Duration) {
+        let overdue = called.elapsed() > wait;
+        let undetected_since = Instant::now().checked_sub(DEAD_CONNECTION_TIMEOUT);
+        self.open(undetected_since.filter(|_| !overdue).unwrap_or(called));
     }
 
-    /// Notes that the store was replaced by an older copy. Rows written since the feed was last
+    /// Records that the store was replaced by an older copy. Rows written since the feed was last
     /// followed may be written again, so a row may be older than its arrival suggests.
     pub fn start_era(&mut self) {
         let now = Instant::now();
@@ -57,14 +58,14 @@
         self.rewriting = Some(Rewriting { since, until });
     }
 
-    /// Notes an answer. Returns the earliest time at which its changes may have been written.
+    /// Records an answer. Returns the earliest time at which its changes may have been written.
     pub fn close(&mut self) -> Written {
         let now = Instant::now();
         self.rewriting = self.rewriting.filter(|rewriting| now < rewriting.until);
-        let missed = self.since.take().unwrap_or(now);
+        let missed_since = self.since.take().unwrap_or(now);
         let since = self
             .rewriting
-            .map_or(missed, |rewriting| rewriting.since.min(missed));
+            .map_or(missed_since, |rewriting| rewriting.since.min(missed_since));
         match std::mem::replace(&mut self.was_read, true) {
             true => Written::After(since),
             false => Written::Unknown,
--- a/src/platform/upstream.rs
+++ b/src/platform/upstream.rs
@@ -26,8 +26,7 @@
 /// Opens connections from one local address.
 pub struct LineDialer {
     pub from: IpAddr,
-    /// Timeout of a new connection.
-    pub wait: Duration,
+    pub connect_timeout: Duration,
 }
 
 #[async_trait(?Send)]
@@ -38,7 +37,7 @@
         workspace: Option<&str>,
     ) -> Result<Box<dyn Upstream>, ConnectError> {
         let opened = Connection::open(self.from, member, workspace.unwrap_or(NO_WORKSPACE));
-        let opened = tokio::time::timeout(self.wait, opened).await;
+        let opened = tokio::time::timeout(self.connect_timeout, opened).await;
         Ok(Box::new(opened.map_err(|_| ConnectError::TimedOut)??))
     }
 }
@@ -48,7 +47,8 @@
     channel: Channel,
     position: Option<Position>,
     status: Status,
-    fitting: State,
+    /// Settings, prepared statements and transaction set up on the connection.
+    setup_state: State,
     /// Whether an answer is outstanding or was read only in part. Such a connection is never
     /// reused.
     out_of_sync: bool,
@@ -70,7 +70,7 @@
             channel: Channel::new(stream.map_err(|error| lost(&error))?),
             position: None,
             status: Status::Idle,
-            fitting: State::default(),
+            setup_state: State::default(),
             out_of_sync: false,
         };
         let hello = format!("CONNECT {} {workspace} {}\r\n", member.group, member.name);
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes the transaction state and the position from the operands of a READY line.
+    /// Reads the transaction state and the position from the operands of a READY line.
     fn read_ready(&mut self, rest: &str) -> Result<(), UpstreamError> {
         let (state, at) = split_word(rest);
         self.status = match state {
@@ -162,7 +162,7 @@
         if reply.error.is_some() {
             return Ok(Some(reply));
         }
-        self.fitting.record(step);
+        self.setup_state.record(step);
         Ok(None)
     }
 
@@ -192,7 +192,7 @@
         };
         let mut opened = false;
         if let Some(setup) = task.setup {
-            for step in self.fitting.steps_to(setup) {
+            for step in self.setup_state.steps_to(setup) {
                 if let Some(refused) = self.run_step(&step, &floor).await? {
                     return Ok(self.to_answer(refused));
                 }
@@ -203,14 +203,18 @@
             .map_err(|error| UpstreamError::InvalidAnswer(error.to_string()))?;
         let (id, text) = split_word(payload);
         // Inside a transaction, BEGIN has already sent the floor.
-        let outside = self.status == Status::Idle && !opened;
-        let floor = if outside { floor.as_str() } else { "" };
+        let outside_transaction = self.status == Status::Idle && !opened;
+        let floor = if outside_transaction {
+            floor.as_str()
+        } else {
+            ""
+        };
         self.send_statement(id, &format!("{floor}{text}")).await?;
         let reply = self.read_reply().await?;
         if reply.error.as_deref() == Some("NOSTMT")
             && let Some(prepared) = task.setup.and_then(|setup| setup.prepared.as_ref())
         {
-            self.fitting.forget_prepared(prepared);
+            self.setup_state.forget_prepared(prepared);
         }
         Ok(self.to_answer(reply))
     }
--- a/src/postgres/entry.rs
+++ b/src/postgres/entry.rs
@@ -63,11 +63,11 @@
 
     /// Accepts callers until the box shuts down.
     async fn accept_all(self: Rc<Self>, listener: TcpListener) -> std::io::Result<()> {
-        let mut leaving = self.context.shutting_down.clone();
+        let mut shutting_down = self.context.shutting_down.clone();
         loop {
             let (socket, _) = tokio::select! {
                 accepted = listener.accept() => accepted?,
-                _ = leaving.wait_for(|leaving| *leaving) => return Ok(()),
+                _ = shutting_down.wait_for(|shutting_down| *shutting_down) => return Ok(()),
             };
             let server = self.clone();
             tokio::task::spawn_local(async move {
--- a/src/postgres/session.rs
+++ b/src/postgres/session.rs
@@ -123,7 +123,7 @@
 
     /// Serves the caller until one side ends the connection.
     pub async fn run(&mut self) -> Result<(), ChannelError> {
-        let mut leaving = self.context.shutting_down.clone();
+        let mut shutting_down = self.context.shutting_down.clone();
         loop {
             let idle = self.core.is_idle();
             let message = tokio::select! {
@@ -134,7 +134,7 @@
                     }
                     message => message?,
                 },
-                _ = leaving.wait_for(|leaving| *leaving), if idle => {
+                _ = shutting_down.wait_for(|shutting_down| *shutting_down), if idle => {
                     return self.send_shutdown().await;
                 }
             };
