--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -224,7 +224,7 @@
     async fn follow(&self, term: u64, _: &Address) -> Result<Status, MemberError> {
         let status = self.run_command(&format!("STEPDOWN {term}")).await?;
         if status.promised > status.log.term {
-            // A promotion releases only the fence of the promoted member.
+            // The promotion of another member does not release this member's fence.
             return self.run_command("RESUME").await;
         }
         Ok(status)
--- a/src/platform/node_file.rs
+++ b/src/platform/node_file.rs
@@ -26,7 +26,7 @@
 
 /// Time between the end of the drain and the platform's kill.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
-/// Percentage of the file descriptors available to callers, who take one each. The rest is for
+/// Percentage of the file descriptors available to callers, who take one each. The others are for
 /// members, peers and files.
 const CALLERS_PERCENT_OF_FDS: u64 = 75;
 /// Timeout of a new connection to a member. TCP retransmits a lost packet only after a second,
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Waits until a feed should be read. Returns whether peers reported changes meanwhile.
+    /// Waits until a feed should be read. Returns whether polling was paused meanwhile.
     async fn wait_until_due(&self, feed: Feed, first: bool) -> bool {
         if feed == Feed::Boxes && first {
             // Read even while polling is paused: the list tells a box which boxes to follow.
--- a/src/platform/table/cache.rs
+++ b/src/platform/table/cache.rs
@@ -28,7 +28,7 @@
     After(Instant),
 }
 
-/// All rows that were read, and the changes that were not yet taken from the cache.
+/// All rows that were read, and the changes that [`Cache::take_changes`] has not returned yet.
 pub struct Cache {
     log: Logger,
     /// Stored values by feed and key, with the revision that wrote them.
@@ -167,7 +167,7 @@
             self.store_row(feed, key, revision, None);
         }
         if feed == Feed::Boxes {
-            // A box may have been removed, which no row of a full read shows.
+            // A box may have been removed, which the rows of a full read don't show.
             self.roster_revision = self.roster_revision.max(revision);
         }
         !removed.is_empty()
@@ -243,8 +243,8 @@
         self.manifest_version = Some(version);
         self.whole.insert(Section::Declarations);
         let declared = |key: &str| Section::of(key) == Section::Declarations;
-        // Uses the operator's version, since an older copy of the store resets the store's
-        // revision: removed declarations would return.
+        // Uses the operator's version: the store's revision falls back when an older copy
+        // replaces the store, and removed declarations would then return.
         let revision = Revision::from_operator(version);
         self.replace_declared(declared, rows_of(manifest.declarations()), revision);
     }
--- a/src/platform/table/watch_gap.rs
+++ b/src/platform/table/watch_gap.rs
@@ -40,8 +40,8 @@
     /// Records that a call made at `called` was not answered. `wait` is how long the store may
     /// hold back the answer.
     ///
-    /// A connection lost within `wait` is detected after [`DEAD_CONNECTION_TIMEOUT`], so changes
-    /// may have been missed for that long. After `wait`, the store may have held back changes
+    /// Within `wait`, a lost connection is detected after at most [`DEAD_CONNECTION_TIMEOUT`], so
+    /// changes may have been missed for that long. After `wait`, the store may have held back changes
     /// since the call.
     pub fn open_unanswered(&mut self, called: Instant, wait: Duration) {
         let overdue = called.elapsed() > wait;
--- a/src/postgres/relay.rs
+++ b/src/postgres/relay.rs
@@ -57,7 +57,7 @@
         statement: Statement,
         visible: bool,
     },
-    /// An answer of the box itself, added once the answers before it are complete.
+    /// An answer of the box itself, added once all earlier answers are complete.
     Local(Bytes),
 }
 
