--- a/src/node/api/resources.rs
+++ b/src/node/api/resources.rs
@@ -78,19 +78,19 @@
 
 /// The owner of a request's bearer token.
 #[derive(Clone, Debug)]
-enum Caller {
+enum Principal {
     /// The administrator, who may only declare partners.
     Admin,
     /// The operator of a partner.
     Operator(Arc<str>),
 }
 
-impl Caller {
-    /// Whether the caller may read and change a resource.
+impl Principal {
+    /// Whether the principal may read and change a resource.
     fn has_access(&self, key: &Key) -> bool {
         match self {
-            Caller::Admin => key.kind == Kind::Partner,
-            Caller::Operator(partner) => key.partner == *partner,
+            Principal::Admin => key.kind == Kind::Partner,
+            Principal::Operator(partner) => key.partner == *partner,
         }
     }
 
@@ -102,10 +102,10 @@
         Err(error_response(StatusCode::FORBIDDEN, error))
     }
 
-    /// Checks that the caller may change a resource. A partner's own operator can't change the
+    /// Checks that the principal may change a resource. A partner's own operator can't change the
     /// partner, as its weight is relative to the other partners.
     fn check_change(&self, key: &Key) -> Result<(), ErrorResponse> {
-        let own_partner = matches!(self, Caller::Operator(_)) && key.kind == Kind::Partner;
+        let own_partner = matches!(self, Principal::Operator(_)) && key.kind == Kind::Partner;
         if !own_partner {
             return self.check_access(key);
         }
@@ -114,7 +114,7 @@
     }
 }
 
-fn authenticate(api: &Api, headers: &HeaderMap) -> Result<Caller, ErrorResponse> {
+fn authenticate(api: &Api, headers: &HeaderMap) -> Result<Principal, ErrorResponse> {
     let bearer = headers.get(header::AUTHORIZATION);
     let text = bearer
         .and_then(|value| value.to_str().ok())
@@ -125,13 +125,13 @@
     let mut found = None;
     for partner in snapshot.partners.values() {
         if secret::matches_hash(token, &partner.operator) {
-            found = Some(Caller::Operator(partner.name.clone()));
+            found = Some(Principal::Operator(partner.name.clone()));
         }
     }
     if let Some(hash) = &api.admin_hash
         && secret::matches_hash(token, hash)
     {
-        found = Some(Caller::Admin);
+        found = Some(Principal::Admin);
     }
     found.ok_or_else(|| error_response(StatusCode::UNAUTHORIZED, "nobody has this token"))
 }
@@ -161,14 +161,14 @@
     headers: HeaderMap,
     Query(filter): Query<Filter>,
 ) -> Result<Json<Value>, ErrorResponse> {
-    let caller = authenticate(&api, &headers)?;
+    let principal = authenticate(&api, &headers)?;
     let snapshot = api.snapshot.borrow().clone();
     let is_listed = |key: &Key| {
         let kind_matches = filter
             .kind
             .as_deref()
             .is_none_or(|kind| kind == key.kind.name());
-        caller.has_access(key) && kind_matches
+        principal.has_access(key) && kind_matches
     };
     let found = snapshot.resources.iter().filter(|(key, _)| is_listed(key));
     let resources: Vec<ShownResource> = found
@@ -189,9 +189,9 @@
     headers: HeaderMap,
     Path(key): Path<String>,
 ) -> Result<Json<Value>, ErrorResponse> {
-    let caller = authenticate(&api, &headers)?;
+    let principal = authenticate(&api, &headers)?;
     let key = parse_key(&key)?;
-    caller.check_access(&key)?;
+    principal.check_access(&key)?;
     let snapshot = api.snapshot.borrow().clone();
     let stored = snapshot.resources.get(&key);
     let stored = stored
@@ -224,9 +224,9 @@
     Path(key): Path<String>,
     Json(body): Json<Value>,
 ) -> Result<Json<Value>, ErrorResponse> {
-    let caller = authenticate(&api, &headers)?;
+    let principal = authenticate(&api, &headers)?;
     let key = parse_key(&key)?;
-    caller.check_change(&key)?;
+    principal.check_change(&key)?;
     let entry = Entry::from_json(key.kind.name(), &key.to_string(), &body);
     let entry = entry.map_err(|finding| invalid_resource(vec![finding]))?;
     let spec = check::one(&entry).map_err(invalid_resource)?;
@@ -248,9 +248,9 @@
     headers: HeaderMap,
     Path(key): Path<String>,
 ) -> Result<Json<Value>, ErrorResponse> {
-    let caller = authenticate(&api, &headers)?;
+    let principal = authenticate(&api, &headers)?;
     let key = parse_key(&key)?;
-    caller.check_change(&key)?;
+    principal.check_change(&key)?;
     let version = required_version(&headers)?;
     let change = Change {
         key,
@@ -288,7 +288,7 @@
     headers: HeaderMap,
     Json(apply): Json<Apply>,
 ) -> Result<Json<Value>, ErrorResponse> {
-    let caller = authenticate(&api, &headers)?;
+    let principal = authenticate(&api, &headers)?;
     let mut found = Vec::new();
     let mut specs = Vec::new();
     for declared in &apply.resources {
@@ -305,7 +305,7 @@
         return Err(invalid_resource(found));
     }
     for spec in &specs {
-        caller.check_change(&spec.key())?;
+        principal.check_change(&spec.key())?;
     }
     let snapshot = api.snapshot.borrow().clone();
     let mut plan = Vec::new();
@@ -415,7 +415,7 @@
     match verdict {
         Ok(Verdict::Done(revision)) => {
             let _ = api.configuration.send(configuration::Request::Poll);
-            // Lets the caller's next request see this change.
+            // Lets the operator's next request see this change.
             let mut newest = api.snapshot.clone();
             let applied = newest.wait_for(|snapshot| snapshot.revision >= revision);
             let _ = tokio::time::timeout(APPLY_TIMEOUT, applied).await;
@@ -455,7 +455,7 @@
     headers: HeaderMap,
     Query(query): Query<Since>,
 ) -> Result<Json<Value>, ErrorResponse> {
-    let caller = authenticate(&api, &headers)?;
+    let principal = authenticate(&api, &headers)?;
     let mut snapshot = api.snapshot.clone();
     let newer = snapshot.wait_for(|snapshot| snapshot.revision > query.since);
     let _ = tokio::time::timeout(WATCH_TIMEOUT, newer).await;
@@ -475,7 +475,7 @@
         .iter()
         .filter_map(|row| {
             let key = row.key.strip_prefix(RESOURCE_PREFIX).and_then(Key::parse)?;
-            caller.has_access(&key).then(|| {
+            principal.has_access(&key).then(|| {
                 json!({
                     "key": key.to_string(),
                     "version": row.revision,
