--- a/src/node/api.rs
+++ b/src/node/api.rs
@@ -34,7 +34,8 @@
 /// Work that is passed from the HTTP server to the thread that runs the box.
 pub enum Work {
     Serve(Box<Exchange>, oneshot::Sender<Result<Reply, Failure>>),
-    Abandon(u64),
+    /// Rolls back the transaction on the pinned connection with this id.
+    AbandonTransaction(u64),
     Lend(limits::LoanRequest, oneshot::Sender<Option<Loan>>),
     Commit(Commit, oneshot::Sender<Result<Verdict, TableError>>),
 }
@@ -49,7 +50,7 @@
     pub work: mpsc::UnboundedSender<Work>,
     pub snapshot: watch::Receiver<Arc<Snapshot>>,
     pub boxes: watch::Receiver<Arc<[Listing]>>,
-    pub leaving: watch::Receiver<bool>,
+    pub shutting_down: watch::Receiver<bool>,
     pub registry: Registry,
     /// Number that makes the nonce of the next commit unique.
     pub next_nonce: AtomicU64,
@@ -65,12 +66,12 @@
         .route(peers::OPINION, post(opinion))
         .route(peers::REACH, post(reach))
         .route(peers::REVOKE, post(revoke))
-        .route(peers::NEWS, post(news))
+        .route(peers::UPDATE, post(update))
         .route(peers::SCAN, post(scan))
         .route(peers::BOXES, post(boxes))
         .route(peers::FOLLOW, post(follow))
         .route(peers::BORROW, post(borrow))
-        .route(peers::WARN, post(warn))
+        .route(peers::ALERT, post(alert))
         .route("/v1/resources", get(resources::list).post(resources::apply))
         .route(
             "/v1/resources/{*key}",
@@ -113,7 +114,7 @@
 }
 
 async fn abandon(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
-    let _ = api.work.send(Work::Abandon(unpack(&body)?));
+    let _ = api.work.send(Work::AbandonTransaction(unpack(&body)?));
     Ok(pack(&()))
 }
 
@@ -142,7 +143,7 @@
     Ok(pack(&revoked))
 }
 
-async fn warn(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
+async fn alert(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
     let from = unpack(&body)?;
     let _ = api.decisions.send(Message::AlertReceived { from });
     Ok(pack(&()))
@@ -163,7 +164,7 @@
     Ok(pack(&answer))
 }
 
-async fn news(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
+async fn update(State(api): Shared, body: Bytes) -> Result<Response, StatusCode> {
     let update: Update = unpack(&body)?;
     let _ = api
         .configuration
@@ -188,7 +189,7 @@
 // Endpoints for operators' tools.
 
 async fn ready(State(api): Shared) -> (StatusCode, &'static str) {
-    if *api.leaving.borrow() {
+    if *api.shutting_down.borrow() {
         return (StatusCode::SERVICE_UNAVAILABLE, "leaving\n");
     }
     if api.snapshot.borrow().revision == Revision::NONE {
@@ -220,7 +221,7 @@
     Json(json!({
         "box": api.name,
         "revision": revision,
-        "leaving": *api.leaving.borrow(),
+        "leaving": *api.shutting_down.borrow(),
         "boxes": boxes,
         "callers": callers,
         "idle_connections": idle_connections,
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -431,19 +431,23 @@
     /// Returns the box after this one in the order of names. Random peers alone would often miss
     /// a box; along this ring an update reaches every box.
     fn next_peer(&self) -> Option<Listing> {
-        let own = &self.context.settings.name;
+        let own_name = &self.context.settings.name;
         let boxes = self.boxes.borrow();
-        let after = boxes.iter().filter(|l| l.name > *own);
+        let after = boxes.iter().filter(|l| l.name > *own_name);
         let next = after.min_by(|a, b| a.name.cmp(&b.name));
         let first = || boxes.iter().min_by(|a, b| a.name.cmp(&b.name));
-        next.or_else(first).filter(|l| l.name != *own).cloned()
+        next.or_else(first).filter(|l| l.name != *own_name).cloned()
     }
 
     /// Chooses other boxes at random.
     fn choose_peers(&self, count: usize) -> Vec<Listing> {
-        let own = &self.context.settings.name;
+        let own_name = &self.context.settings.name;
         let boxes = self.boxes.borrow().clone();
-        let others: Vec<Listing> = boxes.iter().filter(|l| l.name != *own).cloned().collect();
+        let others: Vec<Listing> = boxes
+            .iter()
+            .filter(|l| l.name != *own_name)
+            .cloned()
+            .collect();
         let chosen = others.choose_multiple(&mut rand::rng(), count);
         chosen.cloned().collect()
     }
@@ -499,10 +503,13 @@
     /// Requests rows from peers while the table is unavailable, and the list of boxes if this box
     /// doesn't have it.
     fn ask_peers(&mut self) {
-        let own = self.context.own_api_address();
+        let own_address = self.context.own_api_address();
         let live = self.context.live.borrow().clone();
         let seeds = live.peers.iter();
-        let seeds: Vec<Arc<str>> = seeds.filter(|seed| ***seed != *own).cloned().collect();
+        let seeds: Vec<Arc<str>> = seeds
+            .filter(|seed| ***seed != *own_address)
+            .cloned()
+            .collect();
         if self.boxes.borrow().is_empty()
             && let Some(seed) = seeds.choose(&mut rand::rng())
             && !self.requested_peers.contains(seed)
--- a/src/node/configuration/departures.rs
+++ b/src/node/configuration/departures.rs
@@ -107,8 +107,8 @@
                 continue;
             };
             let age = Duration::from_millis(age);
-            let own = known.departure.age(now);
-            if own.is_none_or(|own| age > own + MIN_AGE_DIFFERENCE) {
+            let own_age = known.departure.age(now);
+            if own_age.is_none_or(|own_age| age > own_age + MIN_AGE_DIFFERENCE) {
                 known.departure = Departure::with_age(now, Some(age));
                 changed = true;
             }
--- a/src/node/configuration/store.rs
+++ b/src/node/configuration/store.rs
@@ -133,7 +133,7 @@
         self.rows.values().filter_map(deletion).collect()
     }
 
-    /// Returns a row as it is to be stored; none if it isn't newer than the known one.
+    /// Returns the row to store; none if it isn't newer than the known one.
     ///
     /// A row's revision is the one at which its sender noticed the change, and boxes may differ
     /// in it: a box that reads the table only before and after a change that is then reverted, or
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -32,14 +32,15 @@
 use crate::events;
 
 /// Delay between two attempts to watch a member's process.
-const GONE_RETRY_DELAY: Duration = Duration::from_millis(200);
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Number of groups up to which a box probes members at the full rate. A box that owns more probes
 /// them less often, which bounds its control traffic but slows down detection.
 const GROUPS_AT_FULL_PROBE_RATE: u32 = 6;
-/// Most owners asked whether they suspect a primary; enough for opinions from every failure domain.
+/// Maximum number of owners asked whether they suspect a primary; enough for opinions from every
+/// failure domain.
 const MAX_ASKED_OWNERS: usize = 10;
-/// Time after which a change of the list has reached every box that can read the table. Exceeds
-/// the delays of the news among boxes and of reading the list anew.
+/// Time after which a change of the list of boxes has reached every box that can read the table.
+/// Exceeds the interval at which boxes read the list, and the delay of updates between boxes.
 const LISTING_DELAY: Duration = Duration::from_secs(5);
 const MIN_SLEEP: Duration = Duration::from_millis(1);
 const MAX_SLEEP: Duration = Duration::from_secs(1);
@@ -52,6 +53,7 @@
     plan: Arc<Plan>,
     group: Group,
     members: Vec<Rc<dyn Member>>,
+    /// Tasks that watch the members' processes.
     watches: Vec<AbortHandle>,
     health: watch::Sender<Health>,
     /// This box's last claim to the duty.
@@ -190,8 +192,8 @@
                 let owned = self.groups.get(&group);
                 // While this box has a ballot of its own, its promotion order may be under way
                 // under a lower generation. The other box must then wait for the lease to expire.
-                let given_up = owned.is_none_or(|owned| !owned.group.is_deposing());
-                let _ = reply.send(given_up);
+                let revoked = owned.is_none_or(|owned| !owned.group.is_deposing());
+                let _ = reply.send(revoked);
             }
             Message::DrainLimit(limit) => self.set_drain_limit(limit),
             Message::ListingSettled => self.report_listing(),
@@ -330,6 +332,6 @@
     loop {
         border.wait_until_gone().await;
         context.send_event(&group, incarnation, Event::ConnectionLost { member });
-        tokio::time::sleep(GONE_RETRY_DELAY).await;
+        tokio::time::sleep(WATCH_RETRY_DELAY).await;
     }
 }
--- a/src/node/driver/actions.rs
+++ b/src/node/driver/actions.rs
@@ -52,7 +52,8 @@
             }
             Action::Probe { member } => self.probe(id, owned, member),
             Action::RevokeLeases { term } => self.revoke_leases(id, owned, term),
-            // A leaving box's process may end during the ballot and leave its fences behind.
+            // A box that shuts down starts no ballot, as its process may end before the fences are
+            // released.
             Action::ClaimDuty if *self.context.shutting_down.borrow() => {
                 return Some(Event::DutyClaimed { won: false });
             }
@@ -185,9 +186,9 @@
     pub(super) fn ask_opinions(&self, id: &Arc<str>, owned: &Owned) {
         let plan = &owned.group.plan;
         let term = owned.group.term();
-        let own = &self.context.settings.name;
+        let own_name = &self.context.settings.name;
         let owners = self.ranking.owners_of(plan).into_iter();
-        let others = owners.filter(|listing| listing.name != *own);
+        let others = owners.filter(|listing| listing.name != *own_name);
         for listing in others.take(MAX_ASKED_OWNERS) {
             let near = listing.domain == self.context.settings.domain;
             let asked =
@@ -212,7 +213,7 @@
     /// Asks all other boxes to give up their leases. If a box doesn't answer, or the list of boxes
     /// may be outdated, the ballot waits until the leases have expired.
     pub(super) fn revoke_leases(&self, id: &Arc<str>, owned: &Owned, term: u64) {
-        let own = &self.context.settings.name;
+        let own_name = &self.context.settings.name;
         let owners = self.ranking.owners_of(&owned.group.plan);
         if !self.ranking.covers_all_boxes(owners.len()) {
             // A box with an older list may also act as an owner.
@@ -222,7 +223,9 @@
             // If the table gives no answer, the list of boxes may be outdated.
             return;
         }
-        let others = owners.into_iter().filter(|listing| listing.name != *own);
+        let others = owners
+            .into_iter()
+            .filter(|listing| listing.name != *own_name);
         let asked = others.map(|listing| {
             peers::revoke(self.context.clone(), listing.address.clone(), id.clone())
         });
@@ -231,8 +234,8 @@
         let incarnation = owned.incarnation;
         tokio::task::spawn_local(async move {
             let listed = context.table.head().await.is_ok();
-            let given_up = futures::future::join_all(asked).await;
-            if listed && given_up.into_iter().all(|done| done) {
+            let revoked = futures::future::join_all(asked).await;
+            if listed && revoked.into_iter().all(|done| done) {
                 context.send_event(&group, incarnation, Event::LeasesRevoked { term });
             }
         });
--- a/src/node/driver/ownership.rs
+++ b/src/node/driver/ownership.rs
@@ -1,5 +1,5 @@
-//! Determines which groups this box owns, and passes on to them what changes outside: the list of
-//! boxes, the duties and the primaries.
+//! Determines which groups this box owns, and informs them of changes to the list of boxes, the
+//! duties and the primaries.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -132,11 +132,11 @@
         }
     }
 
-    /// Records since when the list of boxes contains this box, and has the groups informed once
-    /// that is settled.
+    /// Records whether the list of boxes contains this box. Once all boxes are expected to have read
+    /// that list, the groups are informed.
     pub(super) fn update_listing(&mut self, boxes: &[Listing]) {
-        let own = &self.context.settings.name;
-        let listed = boxes.iter().any(|listing| listing.name == *own);
+        let own_name = &self.context.settings.name;
+        let listed = boxes.iter().any(|listing| listing.name == *own_name);
         let first = !std::mem::replace(&mut self.boxes_received, true);
         let now = self.context.now();
         self.listing_settled = match (listed, self.listing_settled) {
@@ -189,7 +189,7 @@
             // Claims from before this box started are of no interest.
             return;
         }
-        let own = &self.context.settings.name;
+        let own_name = &self.context.settings.name;
         let claimed_elsewhere = |group: &Arc<str>, duty: &Duty| {
             let known = before.duties.get(group);
             // A table restored from an older copy gives the same duty another revision.
@@ -197,7 +197,7 @@
                 known.generation < duty.generation || known.revision.era() == duty.revision.era()
             });
             let known = known.map_or(Revision::NONE, |known| known.revision);
-            duty.holder != *own && known < duty.revision && is_new
+            duty.holder != *own_name && known < duty.revision && is_new
         };
         let duties = self.snapshot.duties.iter();
         let taken = duties.filter(|(group, duty)| claimed_elsewhere(group, duty));
--- a/src/node/driver/partition.rs
+++ b/src/node/driver/partition.rs
@@ -39,7 +39,7 @@
             // The box's own groups suffice to tell.
             self.context
                 .partition_known
-                .send_if_modified(|settled| !std::mem::replace(settled, true));
+                .send_if_modified(|known| !std::mem::replace(known, true));
         }
         self.partition_monitor.update_counts(counts, now);
         if self
@@ -50,20 +50,23 @@
             self.partition_monitor.record_query(now);
             self.query_owners();
         }
-        self.update_away(now);
+        self.update_readiness(now);
     }
 
-    /// Publishes whether callers are better served by boxes elsewhere, and alerts other boxes when
-    /// the partition begins.
-    fn update_away(&self, now: Duration) {
+    /// Marks the box as not ready while it is partitioned, and alerts other boxes when the partition
+    /// begins.
+    fn update_readiness(&self, now: Duration) {
         let partitioned = self.partition_monitor.is_partitioned();
-        let changed = self.context.not_ready_since.send_if_modified(|away| {
-            let changed = away.is_some() != partitioned;
-            if changed {
-                *away = partitioned.then_some(now);
-            }
-            changed
-        });
+        let changed = self
+            .context
+            .not_ready_since
+            .send_if_modified(|not_ready_since| {
+                let changed = not_ready_since.is_some() != partitioned;
+                if changed {
+                    *not_ready_since = partitioned.then_some(now);
+                }
+                changed
+            });
         if changed {
             let kind = match partitioned {
                 true => &events::PARTITIONED,
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -11,7 +11,7 @@
 /// Accepts and serves the callers of one protocol.
 #[async_trait(?Send)]
 pub trait Entry {
-    /// Serves callers until the listener fails or the box has left.
+    /// Serves callers until the listener fails or the box shuts down.
     async fn serve(
         &self,
         context: Rc<Context>,
--- a/src/node/exchange.rs
+++ b/src/node/exchange.rs
@@ -14,8 +14,8 @@
 use crate::decisions::group::{Reason, Refusal, Target};
 use crate::decisions::position::Position;
 
-/// Whether an exchange changes data. Decides about retries, and whether a lost outcome is
-/// unknown.
+/// Whether an exchange changes data. If its answer is lost, a read is retried, while the outcome of
+/// a write is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
     Reads,
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -28,13 +28,13 @@
 /// Maximum number of lenders whose queue an operation tries; the next one is tried if a lender
 /// doesn't answer.
 const MAX_QUEUE_ATTEMPTS: usize = 2;
-/// Part of the target latency that an operation may be queued, as a divisor: the rest is left
-/// for its statements.
+/// Divisor of the target latency that gives the longest time in a lender's queue. The rest is left
+/// for the statements.
 const QUEUE_TIME_DIVISOR: u32 = 4;
 /// Number of entries at which a map is cleaned up: expired allowances are removed, and cooldowns
 /// are cleared.
 const CLEANUP_THRESHOLD: usize = 4_096;
-/// Least time between two log lines about one workspace's used-up limit.
+/// Minimum time between two log lines about one workspace's used-up limit.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A request to a lender.
--- a/src/node/message.rs
+++ b/src/node/message.rs
@@ -22,7 +22,7 @@
     pub suspected: Vec<bool>,
 }
 
-/// Number of one start of a group at this owner. A slot or an event of an earlier start is not
+/// Identifies one start of a group at this owner. A slot or an event of an earlier start is not
 /// applied to a later one.
 pub type Incarnation = u64;
 
@@ -97,7 +97,7 @@
 pub struct Dump {
     pub callers: usize,
     pub idle_connections: usize,
-    /// Whether this box doesn't read the table, because another box of the failure domain
+    /// Whether this box has paused polling the table, because another box of the failure domain
     /// passes the changes on.
     pub resting: bool,
     pub groups: Vec<GroupDump>,
--- a/src/node/once.rs
+++ b/src/node/once.rs
@@ -28,25 +28,25 @@
 ) -> Result<Reply, Failure> {
     let mut sent = false;
     loop {
-        let placed = owner
+        let acquired = owner
             .acquire_slot(exchange, Target::Primary, deadline)
             .await;
-        let place = match placed {
-            Ok(place) => place,
+        let slot = match acquired {
+            Ok(slot) => slot,
             // An earlier attempt may have run.
             Err(_) if sent => return Err(Failure::Unknown),
             Err(failure) => return Err(failure),
         };
-        let member = place.grant.member;
-        let incarnation = place.grant.incarnation;
-        let keyed = match owner.connect(&place, exchange).await {
+        let member = slot.grant.member;
+        let incarnation = slot.grant.incarnation;
+        let keyed = match owner.connect(&slot, exchange).await {
             Err(_) => Keyed::Unresolved,
             Ok(connection) => {
                 sent = true;
-                run(owner, &place, connection, exchange, key).await
+                run(owner, &slot, connection, exchange, key).await
             }
         };
-        drop(place);
+        drop(slot);
         let (answer, server) = match keyed {
             Keyed::Failed(answer) => return Ok(reply(answer, Server::Primary, true)),
             Keyed::Ran(answer) => (Some(answer), Server::Primary),
@@ -57,9 +57,10 @@
             let Some(position) = answer.position else {
                 return Ok(reply(answer, server, false));
             };
-            let need = Unconfirmed::Write(position);
-            let settled = owner.confirm(&exchange.group, incarnation, member, need, deadline);
-            if settled.await == Outcome::Confirmed {
+            let unconfirmed = Unconfirmed::Write(position);
+            let confirmation =
+                owner.confirm(&exchange.group, incarnation, member, unconfirmed, deadline);
+            if confirmation.await == Outcome::Confirmed {
                 return Ok(reply(answer, server, false));
             }
         }
@@ -85,13 +86,13 @@
 /// Runs the exchange on a connection, unless the primary is replaced first.
 async fn run(
     owner: &Owner,
-    place: &Slot,
+    slot: &Slot,
     mut connection: Connection,
     exchange: &Exchange,
     key: &Arc<str>,
 ) -> Keyed {
-    let mut health = place.grant.health.clone();
-    let term = place.grant.term;
+    let mut health = slot.grant.health.clone();
+    let term = slot.grant.term;
     let replaced = async {
         let _ = health.wait_for(|health| health.term > term).await;
     };
@@ -102,7 +103,7 @@
     };
     match done {
         Ok(keyed) => {
-            owner.pool.release(&place.grant.spec, connection);
+            owner.pool.release(&slot.grant.spec, connection);
             keyed
         }
         Err(_) => Keyed::Unresolved,
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -27,13 +27,13 @@
 const RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Time after which a statement on a suspected member is abandoned.
 const SUSPECTED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Number of attempts at a read that its time limit must allow.
+/// Maximum number of attempts at a read within its time limit.
 const MAX_READ_ATTEMPTS: u32 = 3;
 /// Timeout of the rollback of an abandoned transaction, after which its connection is closed.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after which a caller may try again if this box reaches no majority.
 const CUT_OFF_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Least time after which a caller may try again once the retries are exhausted.
+/// Minimum time after which a caller may try again once the retries are exhausted.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// The part of a box that serves exchanges as an owner, for its own and other boxes' callers.
@@ -90,7 +90,7 @@
     /// Serves one exchange.
     pub async fn serve(&self, exchange: &Exchange) -> Result<Reply, Failure> {
         if let Some(id) = exchange.lease {
-            return self.serve_held(id, exchange).await;
+            return self.serve_pinned(id, exchange).await;
         }
         let deadline = self.context.now() + exchange.patience;
         match &exchange.once {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Serves an exchange of another box. A leaving box only continues open transactions, so
-    /// that the other box tries the next owner.
+    /// Serves an exchange of another box. A box that shuts down only continues open
+    /// transactions, so that the other box tries the next owner.
     pub async fn serve_peer(&self, exchange: &Exchange) -> Result<Reply, Failure> {
         if exchange.lease.is_none() && *self.context.shutting_down.borrow() {
             return Err(Failure::NotOwner);
@@ -111,7 +111,7 @@
         served
     }
 
-    /// Whether no exchange of another box is in progress and no connection is held.
+    /// Whether no exchange of another box is in progress and no connection is pinned.
     pub fn is_idle(&self) -> bool {
         self.peer_exchanges.get() == 0 && self.leases.borrow().is_empty()
     }
@@ -206,10 +206,10 @@
             id,
             answered: false,
         };
-        let asked = self.context.now();
+        let requested_at = self.context.now();
         let granted = answer.await;
         pending.answered = true;
-        let waited = (self.context.now() - asked).as_secs_f64() * 1_000.0;
+        let waited = (self.context.now() - requested_at).as_secs_f64() * 1_000.0;
         self.context.metrics.queue_ms.record(waited, &[]);
         let grant = granted.map_err(|_| Failure::NotOwner)?;
         let grant = grant.map_err(|denial| match denial {
@@ -229,8 +229,8 @@
     /// Returns a connection for a slot, or the delay after which to try again.
     pub async fn connect(&self, slot: &Slot, exchange: &Exchange) -> Result<Connection, Duration> {
         let workspace = exchange.workspace.as_ref();
-        let taken = self.pool.acquire(&slot.grant.spec, workspace).await;
-        taken.map_err(|error| {
+        let acquired = self.pool.acquire(&slot.grant.spec, workspace).await;
+        acquired.map_err(|error| {
             let member = slot.grant.member;
             match error {
                 ConnectError::Lost(_) => slot.send_event(Event::ConnectionLost { member }),
@@ -290,7 +290,7 @@
                 .clamp(limit / MAX_READ_ATTEMPTS, limit),
             _ => limit,
         });
-        let late = async {
+        let timed_out = async {
             match limit {
                 Some(limit) => tokio::time::sleep(limit).await,
                 None => std::future::pending().await,
@@ -301,7 +301,7 @@
             () = member_failed(&mut slot.grant) => {
                 Err(UpstreamError::InvalidAnswer("replaced or silent".to_owned()))
             }
-            () = late => Err(UpstreamError::TimedOut),
+            () = timed_out => Err(UpstreamError::TimedOut),
         };
         match ended {
             Ok(answer) => {
@@ -363,7 +363,7 @@
     ) -> Result<Reply, Failure> {
         lease.wrote |= exchange.effect == Effect::Writes;
         if answer.status != Some(Status::Idle) {
-            return self.hold(lease, answer, exchange, since, deadline).await;
+            return self.pin(lease, answer, exchange, since, deadline).await;
         }
         let Lease {
             connection,
@@ -419,8 +419,8 @@
         }
     }
 
-    /// Waits until a majority is seen to hold a write, or not to have replaced the term of a
-    /// read, no longer than until `deadline`.
+    /// Waits until a majority is known to hold a write, or not to have replaced the primary that
+    /// served a read, but not beyond `deadline`.
     pub async fn confirm(
         &self,
         group: &Arc<str>,
@@ -450,9 +450,9 @@
         outcome
     }
 
-    /// Holds the connection for the session's next exchange. The first read of a transaction that
+    /// Pins the connection for the session's next exchange. The first read of a transaction that
     /// this exchange opened is confirmed like one outside of a transaction.
-    async fn hold(
+    async fn pin(
         &self,
         mut lease: Lease,
         answer: Answer,
@@ -489,10 +489,10 @@
         })
     }
 
-    /// Runs an exchange on the connection held for its session.
-    async fn serve_held(&self, id: u64, exchange: &Exchange) -> Result<Reply, Failure> {
-        let held = self.leases.borrow_mut().remove(&id);
-        let mut lease = held.ok_or(Failure::TransactionLost)?;
+    /// Runs an exchange on the connection pinned for its session.
+    async fn serve_pinned(&self, id: u64, exchange: &Exchange) -> Result<Reply, Failure> {
+        let pinned = self.leases.borrow_mut().remove(&id);
+        let mut lease = pinned.ok_or(Failure::TransactionLost)?;
         lease.slot.resume();
         let now = self.context.now();
         let deadline = now + exchange.patience;
@@ -513,10 +513,10 @@
         }
     }
 
-    /// Rolls back a held connection's transaction and releases the connection.
-    pub fn abandon(self: &Rc<Self>, id: u64) {
-        let held = self.leases.borrow_mut().remove(&id);
-        if let Some(lease) = held {
+    /// Rolls back the transaction on a pinned connection and releases the connection.
+    pub fn abandon_transaction(self: &Rc<Self>, id: u64) {
+        let pinned = self.leases.borrow_mut().remove(&id);
+        if let Some(lease) = pinned {
             self.roll_back(lease);
         }
     }
@@ -542,13 +542,13 @@
     pub fn roll_back_expired(&self) {
         let now = self.context.now();
         let mut leases = self.leases.borrow_mut();
-        let expired = |lease: &Lease| {
+        let is_expired = |lease: &Lease| {
             now >= lease.last_used + self.context.idle_transaction_timeout(&lease.slot.group)
         };
-        let late = leases.extract_if(|_, lease| expired(lease));
-        let late: Vec<Lease> = late.map(|(_, lease)| lease).collect();
+        let expired = leases.extract_if(|_, lease| is_expired(lease));
+        let expired: Vec<Lease> = expired.map(|(_, lease)| lease).collect();
         drop(leases);
-        for lease in late {
+        for lease in expired {
             self.roll_back(lease);
         }
     }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -24,12 +24,12 @@
 pub const OPINION: &str = "/peer/opinion";
 pub const REACH: &str = "/peer/reach";
 pub const REVOKE: &str = "/peer/revoke";
-pub const NEWS: &str = "/peer/news";
+pub const UPDATE: &str = "/peer/news";
 pub const SCAN: &str = "/peer/scan";
 pub const BOXES: &str = "/peer/boxes";
 pub const FOLLOW: &str = "/peer/follow";
 pub const BORROW: &str = "/peer/borrow";
-pub const WARN: &str = "/peer/warn";
+pub const ALERT: &str = "/peer/warn";
 
 /// Timeout of calls that don't wait for a member.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
@@ -88,8 +88,8 @@
     }
 }
 
-/// Tells an owner to release a connection that was pinned for a session.
-pub async fn abandon_lease(context: Rc<Context>, owner: Arc<str>, lease: u64) {
+/// Asks an owner to roll back a session's transaction and release its pinned connection.
+pub async fn abandon_transaction(context: Rc<Context>, owner: Arc<str>, lease: u64) {
     let _: Result<(), _> = call(&context, &owner, ABANDON, &lease, CALL_TIMEOUT).await;
 }
 
@@ -115,10 +115,10 @@
 /// Alerts a box of the same failure domain that the other failure domains may be unreachable.
 pub async fn send_partition_alert(context: Rc<Context>, peer: Arc<str>) {
     let from = &context.settings.name;
-    let _: Result<(), _> = call(&context, &peer, WARN, from, CALL_TIMEOUT).await;
+    let _: Result<(), _> = call(&context, &peer, ALERT, from, CALL_TIMEOUT).await;
 }
 
-/// Asks a box to lend operations from its share of a workspace's limit; none if it can't.
+/// Asks a box to lend operations from its part of a workspace's limit; none if it can't.
 pub async fn borrow(
     context: &Context,
     lender: &str,
@@ -132,12 +132,12 @@
 /// Asks a box to give up its lease on a group. Returns whether it did, and isn't replacing the
 /// primary itself.
 pub async fn revoke(context: Rc<Context>, peer: Arc<str>, group: Arc<str>) -> bool {
-    let released = call(&context, &peer, REVOKE, &group, CALL_TIMEOUT).await;
-    released.unwrap_or(false)
+    let revoked = call(&context, &peer, REVOKE, &group, CALL_TIMEOUT).await;
+    revoked.unwrap_or(false)
 }
 
 pub async fn push_update(context: Rc<Context>, peer: Arc<str>, update: Update) {
-    let _: Result<(), _> = call(&context, &peer, NEWS, &update, CALL_TIMEOUT).await;
+    let _: Result<(), _> = call(&context, &peer, UPDATE, &update, CALL_TIMEOUT).await;
 }
 
 pub async fn fetch_rows(context: &Context, peer: &str, request: &ScanRequest) -> Option<Scan> {
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -43,10 +43,10 @@
 const ROSTER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Timeout for removing this box from the list of boxes.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Least time for which this box is missing from the list before it registers again.
+/// Minimum time for which this box is missing from the list before it registers again.
 const MIN_MISSING_TIME: Duration = Duration::from_millis(2_500);
-/// Time for which a box waits for its first check for a partition before it takes callers. It
-/// exceeds the timeout of the query to the owners.
+/// Time for which a box waits for its first check for a partition before it takes callers.
+/// Exceeds the timeout of the query to the owners of other groups.
 const PARTITION_CHECK_TIMEOUT: Duration = Duration::from_millis(200);
 /// Delay between two attempts to register this box.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(800);
@@ -109,11 +109,11 @@
         None => None,
     };
     let (decisions_tx, decisions_rx) = mpsc::unbounded_channel();
-    let (keeper_tx, keeper_rx) = mpsc::unbounded_channel();
+    let (configuration_tx, configuration_rx) = mpsc::unbounded_channel();
     let (work_tx, work_rx) = mpsc::unbounded_channel();
     let (snapshot_tx, snapshot) = watch::channel(Arc::default());
     let (boxes_tx, boxes) = watch::channel(Arc::from([]));
-    let (leaving_tx, leaving) = watch::channel(false);
+    let (shutdown_tx, shutting_down) = watch::channel(false);
     let Ports {
         clock,
         client,
@@ -137,7 +137,7 @@
         decisions: decisions_tx.clone(),
         snapshot: snapshot.clone(),
         boxes: boxes.clone(),
-        shutting_down: leaving.clone(),
+        shutting_down: shutting_down.clone(),
         classes: Classes::default(),
         routes: Routes::default(),
         limits: Limits::default(),
@@ -157,11 +157,11 @@
         name: context.settings.name.clone(),
         admin_hash: context.settings.admin_hash.clone(),
         decisions: decisions_tx,
-        configuration: keeper_tx.clone(),
+        configuration: configuration_tx.clone(),
         work: work_tx,
         snapshot: snapshot.clone(),
         boxes,
-        leaving,
+        shutting_down,
         registry: context.metrics.registry(),
         next_nonce: AtomicU64::new(rand::random::<u32>().into()),
     });
@@ -169,10 +169,10 @@
     let log = &context.log;
     let name = &context.settings.name;
     events::emit(log, &events::STARTED, &[("box", name)]);
-    let keeper = Updater::new(context.clone(), keeper_rx, snapshot_tx, boxes_tx);
+    let updater = Updater::new(context.clone(), configuration_rx, snapshot_tx, boxes_tx);
     let mut background = vec![
         tokio::task::spawn_local(Driver::new(context.clone(), decisions, decisions_rx).run()),
-        tokio::task::spawn_local(keeper.run()),
+        tokio::task::spawn_local(updater.run()),
         tokio::task::spawn_local(handle_work(context.clone(), owner.clone(), work_rx)),
         tokio::task::spawn_local(close_idle(owner.clone())),
         tokio::task::spawn_local(keep_registered(context.clone())),
@@ -186,8 +186,8 @@
         }));
     }
     if context.settings.share_table_reads {
-        let following = follow::run(context.clone(), keeper_tx);
-        background.push(tokio::task::spawn_local(following));
+        let follower = follow::run(context.clone(), configuration_tx);
+        background.push(tokio::task::spawn_local(follower));
     }
     let mut configured = snapshot;
     tokio::select! {
@@ -204,7 +204,7 @@
     };
     let _ = stop.wait_for(|stop| *stop).await;
     context.not_ready_since.send_replace(Some(context.now()));
-    let _ = leaving_tx.send(true);
+    let _ = shutdown_tx.send(true);
     events::emit(log, &events::DRAINING, &[("box", name)]);
     let end = context.now() + context.live.borrow().drain_timeout;
     drain(&context, &owner, end).await;
@@ -234,8 +234,8 @@
     }
 }
 
-/// Waits until no callers are connected, nothing is in progress or held for other boxes, and this
-/// box has no ballot under way, but no longer than until `end`.
+/// Waits until no callers are connected, no exchange of another box is in progress, no
+/// connection is pinned and this box has no ballot under way, but no longer than until `end`.
 async fn drain(context: &Context, owner: &Owner, end: Duration) {
     let interval = Duration::from_millis(20);
     let busy = || context.callers.get() > 0 || !owner.is_idle() || context.deposing.get();
@@ -248,22 +248,18 @@
     let _ = api::serve(api, listener).await;
 }
 
-/// Reports that the box takes callers, except while boxes elsewhere serve them better. The first
-/// check for a partition comes before: a box that started in a partitioned failure domain would
+/// Reports whether the box takes callers: not while it is partitioned or shutting down. Waits for
+/// the first check for a partition, as a box that starts in a partitioned failure domain would
 /// otherwise be the only one there to report ready, and receive all callers of that domain.
 async fn report_readiness(context: Rc<Context>, ready: watch::Sender<bool>) {
     if context.settings.tolerate_domain_loss {
-        let mut settled = context.partition_known.subscribe();
-        let _ = tokio::time::timeout(
-            PARTITION_CHECK_TIMEOUT,
-            settled.wait_for(|settled| *settled),
-        )
-        .await;
+        let mut known = context.partition_known.subscribe();
+        let _ = tokio::time::timeout(PARTITION_CHECK_TIMEOUT, known.wait_for(|known| *known)).await;
     }
-    let mut away = context.not_ready_since.subscribe();
+    let mut not_ready_since = context.not_ready_since.subscribe();
     loop {
-        ready.send_replace(away.borrow_and_update().is_none());
-        if away.changed().await.is_err() {
+        ready.send_replace(not_ready_since.borrow_and_update().is_none());
+        if not_ready_since.changed().await.is_err() {
             return;
         }
     }
@@ -282,8 +278,8 @@
         leaving: false,
         link_mbps: context.settings.link_mbps,
     };
-    // Only the list as it was before this start tells whether the others know this box. At the
-    // first start of the system it is empty, and would only fill during the wait.
+    // Only the list as it was before this start shows whether the other boxes know this one. At
+    // the first start of the system there is no such list to wait for.
     while !context.settings.first_start && !context.roster.is_loaded() {
         tokio::time::sleep(ROSTER_POLL_INTERVAL).await;
     }
@@ -297,8 +293,8 @@
         // boxes that the list has lost at the same time.
         let jitter = rand::rng().random_range(1.0..2.0);
         tokio::time::sleep(MIN_MISSING_TIME.mul_f64(jitter)).await;
-        let leaving = *context.shutting_down.borrow();
-        if is_missing(&boxes.borrow_and_update()) && !leaving {
+        let shutting_down = *context.shutting_down.borrow();
+        if is_missing(&boxes.borrow_and_update()) && !shutting_down {
             events::emit(&context.log, &events::RELISTED, &[]);
             register(&context, &listing).await;
         }
@@ -339,7 +335,8 @@
     }
 }
 
-/// Serves the requests of the HTTP handlers, which must be `Send` and so can't do this themselves.
+/// Performs the work of the HTTP handlers, which must be `Send` and so can't use the state of the
+/// box's thread themselves.
 async fn handle_work(
     context: Rc<Context>,
     owner: Rc<Owner>,
@@ -353,17 +350,17 @@
                     let _ = reply.send(owner.serve_peer(&exchange).await);
                 });
             }
-            Work::Lend(question, mut reply) => {
+            Work::Lend(request, mut reply) => {
                 let context = context.clone();
                 tokio::task::spawn_local(async move {
                     let lent = tokio::select! {
-                        lent = context.lend(&question) => lent,
+                        lent = context.lend(&request) => lent,
                         () = reply.closed() => return,
                     };
                     let _ = reply.send(lent);
                 });
             }
-            Work::Abandon(lease) => owner.abandon(lease),
+            Work::AbandonTransaction(lease) => owner.abandon_transaction(lease),
             Work::Commit(commit, reply) => {
                 let table = context.table.clone();
                 let log = context.log.clone();
--- a/src/node/session.rs
+++ b/src/node/session.rs
@@ -85,9 +85,10 @@
             return;
         };
         match pinned.owner {
-            None => self.owner.abandon(pinned.id),
+            None => self.owner.abandon_transaction(pinned.id),
             Some(address) => {
-                let abandoned = peers::abandon_lease(self.context.clone(), address, pinned.id);
+                let abandoned =
+                    peers::abandon_transaction(self.context.clone(), address, pinned.id);
                 tokio::task::spawn_local(abandoned);
             }
         }
--- a/src/node/slot.rs
+++ b/src/node/slot.rs
@@ -1,4 +1,4 @@
-//! Slots at members, and the connections that sessions hold there.
+//! Slots at members, and the connections pinned there for sessions.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -66,7 +66,7 @@
     }
 }
 
-/// A connection held for a session between its exchanges.
+/// A connection pinned for a session between its exchanges.
 pub struct Lease {
     pub connection: Connection,
     pub slot: Slot,
