--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -322,7 +322,7 @@
     }
 }
 
-/// Reports to the group each time a member's process is gone.
+/// Reports to the group each time a member's process has ended.
 async fn watch_member(
     context: Rc<Context>,
     (group, incarnation): (Arc<str>, Incarnation),
--- a/src/node/duty.rs
+++ b/src/node/duty.rs
@@ -25,7 +25,7 @@
 ) -> Option<Claim> {
     let known = context.snapshot.borrow().duties.get(group).cloned();
     let mut duty = next_duty(known.as_ref(), &context.settings.name, ballot);
-    // The current holder writes the duty again too, so that only one of two claims succeeds.
+    // The current holder also writes the duty, so that only one of two concurrent claims succeeds.
     let change = build_commit(group, &duty);
     let committed = tokio::time::timeout(TABLE_TIMEOUT, context.table.commit(&change)).await;
     let no_answer = match committed {
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -23,11 +23,11 @@
 use crate::decisions::position::Position;
 use crate::events;
 
-/// Delay before a statement that did not run is tried again.
+/// Delay before a statement that did not run is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Time after which a statement on a suspected member is abandoned.
 const SUSPECTED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Maximum number of attempts at a read within its time limit.
+/// Maximum number of attempts at a read that can time out within its time limit.
 const MAX_READ_ATTEMPTS: u32 = 3;
 /// Timeout of the rollback of an abandoned transaction, after which its connection is closed.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(1);
@@ -116,8 +116,8 @@
         self.peer_exchanges.get() == 0 && self.leases.borrow().is_empty()
     }
 
-    /// Runs an exchange on a member of its group, and again if it did not run or if it is a read
-    /// without an answer.
+    /// Runs an exchange on a member of its group. Retries it if it did not run, or if it is a read
+    /// that got no answer.
     async fn serve_new(&self, exchange: &Exchange, deadline: Duration) -> Result<Reply, Failure> {
         let arrived = self.context.now();
         loop {
@@ -250,8 +250,8 @@
 
     /// Waits until the next attempt, if the retry budget and the deadline allow one.
     async fn await_retry(&self, deadline: Duration, pause: Duration) -> Result<(), Failure> {
-        let late = self.context.now() + pause > deadline;
-        if late || !self.budget.borrow_mut().spend() {
+        let too_late = self.context.now() + pause > deadline;
+        if too_late || !self.budget.borrow_mut().spend() {
             let wait = pause.max(MIN_RETRY_AFTER);
             return Err(Failure::NotRun(Refusal::new(Reason::Retries, wait)));
         }
--- a/src/node/slot.rs
+++ b/src/node/slot.rs
@@ -49,7 +49,7 @@
         });
     }
 
-    /// Occupies the slot again for the caller's next statement.
+    /// Reoccupies the slot for the caller's next statement.
     pub fn resume(&mut self) {
         if std::mem::take(&mut self.idle) {
             self.occupied_since = self.context.now();
