--- a/src/node/slot.rs
+++ b/src/node/slot.rs
@@ -1,4 +1,4 @@
-//! Slots at members, and the connections that sessions hold there.
+//! Slots at members, and the connections pinned there for sessions.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -49,7 +49,7 @@
         });
     }
 
-    /// Occupies the slot again for the caller's next statement.
+    /// Reoccupies the slot for the caller's next statement.
     pub fn resume(&mut self) {
         if std::mem::take(&mut self.idle) {
             self.occupied_since = self.context.now();
@@ -66,7 +66,7 @@
     }
 }
 
-/// A connection held for a session between its exchanges.
+/// A connection pinned for a session between its exchanges.
 pub struct Lease {
     pub connection: Connection,
     pub slot: Slot,
