--- a/src/events.rs
+++ b/src/events.rs
@@ -53,7 +53,7 @@
     IMPLAUSIBLE_REPORT = 306, Error, "member's report is implausible and is ignored";
     NO_CONNECTION = 307, Info, "no connection to a member; the statement is routed again";
     ANSWER_LOST = 308, Warning, "no valid answer from a member; the connection is closed";
-    DUTY_TAKEN = 309, Info, "promotion ordered with this generation number";
+    DUTY_CLAIMED = 309, Info, "promotion ordered with this generation number";
     DUTY_WITHOUT_TABLE = 310, Warning, "table does not respond; the generation number follows the last known one";
     FENCE_RELEASED = 311, Info, "fence released: no primary was promoted under it";
     DRAIN_STARTED = 312, Info, "drain period of a leaving primary started";
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -35,16 +35,16 @@
     pub replacements: Counter<u64>,
     pub probes: Counter<u64>,
     /// Alerts of a partition that were sent to boxes of the same failure domain.
-    pub cut_warnings: Counter<u64>,
+    pub partition_alerts: Counter<u64>,
     /// Calls to the platform's store, by table and cause.
     store_calls: Counter<u64>,
     settings_reads: Counter<u64>,
     /// Times that the platform's table was replaced by an older copy.
-    pub older_copies: Counter<u64>,
+    pub table_rollbacks: Counter<u64>,
     /// Operations by workspace and by whether its limit admitted them.
     operations: Counter<u64>,
     /// Callers and operations that were refused because their key belongs to no workspace.
-    pub strangers: Counter<u64>,
+    pub unknown_keys: Counter<u64>,
     /// Workspaces that have a label of their own.
     named_workspaces: RefCell<BTreeSet<Arc<str>>>,
     /// Time from a statement's arrival to its answer, by declared kind of read and outcome.
@@ -77,12 +77,12 @@
             forwarded: counter("larkfall_forwarded"),
             replacements: counter("larkfall_replacements"),
             probes: counter("larkfall_probes"),
-            cut_warnings: counter("larkfall_cut_warnings"),
+            partition_alerts: counter("larkfall_cut_warnings"),
             store_calls: counter("larkfall_store_calls"),
             settings_reads: counter("larkfall_settings_reads"),
-            older_copies: counter("larkfall_older_copies"),
+            table_rollbacks: counter("larkfall_older_copies"),
             operations: counter("larkfall_operations"),
-            strangers: counter("larkfall_strangers"),
+            unknown_keys: counter("larkfall_strangers"),
             named_workspaces: RefCell::default(),
             answer_ms: meter.f64_histogram("larkfall_answer_ms").build(),
             queue_ms: meter.f64_histogram("larkfall_queue_ms").build(),
--- a/src/node/driver/partition.rs
+++ b/src/node/driver/partition.rs
@@ -85,7 +85,7 @@
         let boxes = self.context.boxes.borrow().clone();
         let targets = alert_targets(&boxes, &settings.name, &settings.domain, &mut rand::rng());
         for target in targets {
-            self.context.metrics.cut_warnings.add(1, &[]);
+            self.context.metrics.partition_alerts.add(1, &[]);
             let alert = peers::send_partition_alert(self.context.clone(), target.address.clone());
             tokio::task::spawn_local(alert);
         }
--- a/src/node/duty.rs
+++ b/src/node/duty.rs
@@ -42,7 +42,7 @@
     }
     let fields: [(_, &dyn std::fmt::Display); 2] =
         [("group", group), ("generation", &duty.generation)];
-    events::emit(&context.log, &events::DUTY_TAKEN, &fields);
+    events::emit(&context.log, &events::DUTY_CLAIMED, &fields);
     Some(Claim {
         duty,
         unconfirmed: no_answer,
--- a/src/platform/callers.rs
+++ b/src/platform/callers.rs
@@ -93,7 +93,7 @@
     };
     let key: Arc<str> = secret::hash(key).into();
     if let Err(stranger) = context.authenticate(&declared, &key) {
-        context.metrics.strangers.add(1, &[]);
+        context.metrics.unknown_keys.add(1, &[]);
         return refuse(&mut channel, code::NO_KEY, &stranger.to_string()).await;
     }
     if context.is_not_ready_for(context.settings.max_balancer_delay) {
@@ -392,7 +392,7 @@
 
     /// Refuses a statement whose key is not valid. An open transaction fails.
     fn refuse_key(&mut self) -> Outcome {
-        self.context.metrics.strangers.add(1, &[]);
+        self.context.metrics.unknown_keys.add(1, &[]);
         if self.open.is_some() {
             self.session.abort_transaction();
         }
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -120,7 +120,7 @@
         while era.changed().await.is_ok() {
             let now = *era.borrow_and_update();
             if let (Some(before), Some(now)) = (before, now) {
-                self.metrics.older_copies.add(1, &[]);
+                self.metrics.table_rollbacks.add(1, &[]);
                 let fields: [(_, &dyn std::fmt::Display); 2] = [("era", &now), ("before", &before)];
                 events::emit(&self.log, &events::TABLE_ROLLED_BACK, &fields);
             }
