--- a/examples/failover.rs
+++ b/examples/failover.rs
@@ -1,6 +1,9 @@
 //! Measures the distribution of the failover gap by kind of fault.
 //!
 //! `cargo run --release --example failover -- TRIALS [KIND…]`
+//!
+//! The kinds are killed, frozen, cut-from-domain, cut-from-boxes and none. Runs all but none by
+//! default. With the environment variable `TRIAL_LOG`, boxes log to standard error.
 
 use std::time::Duration;
 
@@ -45,7 +48,7 @@
     tokio::time::sleep(WARM_UP + Duration::from_millis(seed * 37 % 200)).await;
     let fault_at = workload.elapsed();
     inject_fault(&mut cluster, kind).await?;
-    // The last acknowledgements must all come well after the fault, so that the gap has ended.
+    // The gap has ended if the latest acknowledgements all came well after the fault.
     let is_recovered = |journal: &larkfall::trial::journal::Journal| {
         let last = journal.acknowledged_at.iter().rev().take(MIN_ACKNOWLEDGED);
         journal.acknowledged_at.len() > MIN_ACKNOWLEDGED
--- a/examples/overload.rs
+++ b/examples/overload.rs
@@ -35,7 +35,7 @@
     offered: u64,
 }
 
-/// A pool of clients, which connects new ones as needed.
+/// Clients of one group. Connects a new one if none is idle, up to [`MAX_CLIENTS`].
 struct ClientPool {
     at: SocketAddr,
     partner: String,
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Returns a channel that turns true on SIGTERM or SIGINT.
+/// Returns a channel whose value becomes true on SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
@@ -67,7 +67,7 @@
             _ = interrupt.recv() => {}
         }
         let _ = stop_tx.send(true);
-        // Keeps the sender, since the receiver would fail without it.
+        // Keeps the sender alive: receivers get an error once it is dropped.
         std::future::pending::<()>().await;
     });
     Ok(stop_rx)
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -59,7 +59,7 @@
             return Ok(Exit::Done);
         }
         Ok(_) => {}
-        Err(more) => findings.extend(more),
+        Err(invalid) => findings.extend(invalid),
     }
     findings.sort_by(|a, b| (&a.file, a.line).cmp(&(&b.file, b.line)));
     print_findings(&findings);
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -27,7 +27,7 @@
 
 pub fn run(json: bool, seconds: Option<u64>) -> anyhow::Result<Exit> {
     let seconds = Duration::from_secs(seconds.unwrap_or(DEFAULT_SECONDS));
-    // The current thread runs the command line's event loop already.
+    // A runtime can't be started on the current thread, which already runs one.
     let demo = std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
--- a/src/commands/operate.rs
+++ b/src/commands/operate.rs
@@ -86,8 +86,8 @@
     let (entries, mut findings) = load_entries(&[path.to_owned()])?;
     let specs = match check::all(&entries) {
         Ok(specs) => specs,
-        Err(more) => {
-            findings.extend(more);
+        Err(invalid) => {
+            findings.extend(invalid);
             Default::default()
         }
     };
@@ -101,19 +101,19 @@
     let answer = remote
         .call(Method::POST, "/v1/resources", None, Some(&body))
         .await;
-    let Ok(done) = &answer else {
+    let Ok(applied) = &answer else {
         return print_answer(answer);
     };
-    for step in done["plan"].as_array().into_iter().flatten() {
+    for step in applied["plan"].as_array().into_iter().flatten() {
         let action = step["action"].as_str().unwrap_or_default();
         println!("{action:8}{}", step["key"].as_str().unwrap_or_default());
         if action == "replace" {
             print_difference(&step["before"], &step["after"]);
         }
     }
-    println!("revision {}", done["revision"]);
+    println!("revision {}", applied["revision"]);
     if wait && !dry_run {
-        wait_in_force(remote, done["revision"].as_u64().unwrap_or_default()).await?;
+        wait_in_force(remote, applied["revision"].as_u64().unwrap_or_default()).await?;
     }
     Ok(Exit::Done)
 }
@@ -146,7 +146,7 @@
     }
 }
 
-/// Returns the names of boxes that do not have the revision yet.
+/// Returns the names of the boxes that have not applied the revision yet.
 async fn boxes_behind(remote: &Remote, revision: u64) -> anyhow::Result<Vec<String>> {
     let dump = remote.call(Method::GET, "/dump", None, None).await?;
     let mut behind = Vec::new();
--- a/src/configs/run.rs
+++ b/src/configs/run.rs
@@ -42,18 +42,19 @@
     pub max_callers: usize,
     /// Time that requests in flight may take at shutdown.
     pub drain_timeout: Duration,
-    /// Time after which the load balancer certainly sends no callers to a box that is not ready.
+    /// Longest time for which the load balancer still sends callers to a box that is not ready.
     pub max_balancer_delay: Duration,
-    /// Mean time after which the load balancer sends no callers to a box that is not ready.
+    /// Mean time for which the load balancer still sends callers to a box that is not ready.
     pub mean_balancer_delay: Duration,
     /// Retries allowed per hundred successful answers.
     pub retry_percent: u64,
     /// Unused retries that can accumulate.
     pub max_saved_retries: u64,
-    /// Whether a box must hold the duty, whose generation number is kept in the table, to order a
-    /// promotion.
+    /// Whether a box must hold the duty to order a promotion. The duty's generation number is kept
+    /// in the table.
     pub duty: bool,
-    /// Whether only a few boxes of a large failure domain read the table, on behalf of the others.
+    /// Whether only a few boxes of a large failure domain read the table and pass changes on to the
+    /// others.
     pub share_table_reads: bool,
     /// Bandwidth of the box's network link in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
--- a/src/declarations/check.rs
+++ b/src/declarations/check.rs
@@ -45,7 +45,7 @@
 /// Reads the fields of one entry and collects findings about them.
 struct Reader<'a> {
     entry: &'a Entry,
-    /// Fields that were read; all others of the entry are reported as unknown.
+    /// Fields that were read. The entry's other fields are reported as unknown.
     known: Vec<&'static str>,
     findings: Vec<Finding>,
 }
@@ -95,7 +95,7 @@
         text
     }
 
-    /// Reads a name that may be a host name, as callers use it; an empty one is accepted.
+    /// Reads a name that may have the form of a host name. An empty name is accepted.
     fn host(&mut self, field: &'static str) -> Arc<str> {
         let text = self.text(field);
         let allowed = |c: char| c.is_ascii_graphic();
@@ -105,7 +105,7 @@
         text
     }
 
-    /// Reads a name that is sent to members, where it must not be empty.
+    /// Reads a name like [`Self::host`], but refuses an empty one, which members don't accept.
     fn non_empty_host(&mut self, field: &'static str) -> Arc<str> {
         let text = self.host(field);
         if text.is_empty() && self.entry.fields.contains_key(field) {
@@ -189,7 +189,7 @@
         })
     }
 
-    /// Returns all findings, with one for each field that was not read.
+    /// Returns all findings, including one for each field that was not read.
     fn finish(mut self) -> Vec<Finding> {
         for field in self.entry.fields.keys() {
             if !self.known.contains(&field.as_str()) {
@@ -359,7 +359,7 @@
     let mut findings = Vec::new();
     for entry in entries {
         match one(entry) {
-            Err(more) => findings.extend(more),
+            Err(entry_findings) => findings.extend(entry_findings),
             Ok(spec) => {
                 let key = spec.key();
                 if let Some(first) = declared.insert(key.clone(), entry) {
@@ -404,10 +404,10 @@
 
 /// Returns the field of `spec` that refers to an undeclared resource, and that resource's key.
 pub fn missing_reference(spec: &Spec, specs: &BTreeMap<Key, Spec>) -> Option<(&'static str, Key)> {
-    let own = spec.key();
+    let spec_key = spec.key();
     let referenced = |kind, name: &Arc<str>| Key {
         kind,
-        partner: own.partner.clone(),
+        partner: spec_key.partner.clone(),
         name: name.clone(),
     };
     let (field, key) = match spec {
--- a/src/declarations/resource.rs
+++ b/src/declarations/resource.rs
@@ -91,7 +91,7 @@
     pub caller: Option<Arc<str>>,
 }
 
-/// Where an acknowledged write of a group is stored.
+/// Where a write of a group must be stored before it is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Durability {
@@ -114,7 +114,8 @@
     pub slots: u32,
     /// Connections that a member accepts from all boxes together.
     pub connections: u32,
-    /// Boxes that hold connections to the members; 0 means as many as `connections` allows.
+    /// Number of boxes that hold connections to the members; 0 means as many as `connections`
+    /// allows.
     pub owners: u32,
     /// Milliseconds after which a statement that has not started is refused.
     pub deadline_ms: u64,
@@ -147,20 +148,21 @@
     pub domain: Arc<str>,
     /// Whether the member is about to stop and takes no new work.
     pub leaving: bool,
-    /// Time when the member started, in Unix milliseconds, if it reports one. A member with the
-    /// same name and a later start has lost the promises that its predecessor made, such as fences.
+    /// Start time of the member in Unix milliseconds; `None` if it is unknown. A member that
+    /// restarts under its name has a later start time, and no longer keeps promises such as fences
+    /// that it made before.
     #[serde(default)]
     pub born: Option<u64>,
 }
 
 impl Member {
-    /// Whether `later` is this member after a restart. An earlier start is outdated information
-    /// and is no restart.
+    /// Whether `later` is this member after a restart. An earlier start time is outdated
+    /// information and no restart.
     pub fn restarted_as(&self, later: &Member) -> bool {
         matches!((self.born, later.born), (Some(before), Some(after)) if after > before)
     }
 
-    /// Whether both have the same name and address.
+    /// Whether both members have the same name and address.
     pub fn same_endpoint(&self, other: &Member) -> bool {
         self.name == other.name && self.address == other.address
     }
--- a/src/declarations/snapshot.rs
+++ b/src/declarations/snapshot.rs
@@ -28,10 +28,11 @@
     pub members: Vec<Member>,
     pub reads: Vec<Read>,
     pub onces: Vec<Once>,
-    /// Whether callers of any of its databases need a workspace's key. Each connection to its
-    /// members then serves a single workspace.
+    /// Whether callers of any of the group's databases need a workspace's key. Each connection to
+    /// the members then serves a single workspace.
     pub keyed: bool,
-    /// Members that are leaving or no longer listed, by name, as far as this box knows.
+    /// Departures that this box knows of, by the name of the member: it is leaving or no longer
+    /// listed.
     pub departures: BTreeMap<Arc<str>, Departure>,
 }
 
@@ -190,19 +191,19 @@
             .resources
             .iter()
             .filter(|(_, stored)| is_leaving(stored));
-        let known = |key: &Key, stored: &Stored| {
+        let was_leaving = |key: &Key, stored: &Stored| {
             let earlier = before
                 .resources
                 .get(key)
                 .filter(|earlier| is_leaving(earlier));
             earlier.is_some_and(|earlier| !restarted_as(earlier, stored))
         };
-        let leaving = leaving.filter(move |(key, stored)| !known(key, stored));
+        let leaving = leaving.filter(move |(key, stored)| !was_leaving(key, stored));
         let leaving = leaving.map(|(key, _)| (key.clone(), DepartureReason::Leaving));
         let earlier_keys = before.resources.keys();
-        let gone = earlier_keys
+        let unlisted = earlier_keys
             .filter(|key| key.kind == Kind::Member && !self.resources.contains_key(key));
-        leaving.chain(gone.map(|key| (key.clone(), DepartureReason::Unlisted)))
+        leaving.chain(unlisted.map(|key| (key.clone(), DepartureReason::Unlisted)))
     }
 }
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -11,9 +11,10 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-/// Time after which an unused connection is closed.
+/// Time after which an unused connection in the pool is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time to open a connection: a few round trips, without a retransmission.
+/// Time limit for opening a connection. It covers several round trips, but no retransmission of a
+/// lost packet.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Idle time before the first TCP keepalive probe, and the interval between probes. The kernel
 /// accepts whole seconds only.
@@ -21,7 +22,7 @@
 /// Unanswered probes after which a connection is closed. With three, detecting a dead long poll
 /// and repeating it would exceed the four seconds within which a box must learn of a change.
 const KEEPALIVE_PROBES: u32 = 2;
-/// Time after which an open connection is closed whose other end no longer responds.
+/// Time after which a connection is closed if the other end no longer responds.
 pub const DEAD_CONNECTION_TIMEOUT: Duration =
     KEEPALIVE_INTERVAL.saturating_mul(1 + KEEPALIVE_PROBES);
 
@@ -99,7 +100,8 @@
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // A partition closes no connections: without probes, each call would last until its timeout.
+        // A partition closes no connections. Without probes, each call over a dead connection
+        // would last until its timeout.
         connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
         connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
         connector.set_keepalive_retries(Some(KEEPALIVE_PROBES));
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -12,7 +12,7 @@
 
 use crate::decisions::floors::Scope;
 
-/// Workspaces that get a label of their own; all others share [`OTHERS`].
+/// Number of workspaces with a separate label; all others share [`OTHERS`].
 const MAX_NAMED_WORKSPACES: usize = 200;
 /// Label of the workspaces beyond [`MAX_NAMED_WORKSPACES`].
 const OTHERS: &str = "others";
@@ -45,7 +45,7 @@
     operations: Counter<u64>,
     /// Callers and operations that were refused because their key belongs to no workspace.
     pub unknown_keys: Counter<u64>,
-    /// Workspaces that have a label of their own.
+    /// Workspaces with a separate label.
     named_workspaces: RefCell<BTreeSet<Arc<str>>>,
     /// Time from a statement's arrival to its answer, by declared kind of read and outcome.
     pub answer_ms: Histogram<f64>,
@@ -53,7 +53,7 @@
     pub queue_ms: Histogram<f64>,
     /// Time that members took to answer.
     pub member_ms: Histogram<f64>,
-    /// Time that it took to confirm a write or a read before answering it.
+    /// Time to confirm a write or a read before it is answered.
     pub confirmation_ms: Histogram<f64>,
 }
 
@@ -95,7 +95,7 @@
 }
 
 impl Metrics {
-    /// Records that a statement was answered after `took`.
+    /// Records the answer time of a statement.
     pub fn record_answer(&self, outcome: &'static str, scope: &Scope, took: Duration) {
         let kind = scope.read_kind.as_deref().unwrap_or("none").to_owned();
         let labels = [
@@ -105,9 +105,9 @@
         self.answer_ms.record(took.as_secs_f64() * 1_000.0, &labels);
     }
 
-    /// Counts a call of the platform's store. Its cause is `start` (reading all rows), `retry` (an
-    /// earlier call failed), `stale` (other boxes reported nothing recent), `wait` (long poll for
-    /// changes), or `listing` or `record` (writes).
+    /// Counts a call to the platform's store. The cause is `start` (reading all rows), `retry` (an
+    /// earlier call failed), `stale` (other boxes reported no recent revision), `wait` (long poll
+    /// for changes), or `listing` or `record` (writes).
     pub fn count_store_call(&self, table: &'static str, cause: &'static str) {
         let labels = [KeyValue::new("table", table), KeyValue::new("cause", cause)];
         self.store_calls.add(1, &labels);
--- a/src/standin/control.rs
+++ b/src/standin/control.rs
@@ -259,6 +259,7 @@
     }
 }
 
+/// Stores the answer to a `Ship` request. Returns false if the next request should be delayed.
 async fn receive_shipped(member: &Arc<Member>, shipped: Result<Reply, MemberError>) -> bool {
     match shipped {
         Ok(Reply::Batch(batch)) => {
@@ -273,7 +274,7 @@
     }
 }
 
-/// Applies received entries when their lag is over. Never returns.
+/// Applies received entries once the replication lag has passed. Never returns.
 pub async fn apply_entries(member: Arc<Member>) {
     loop {
         let wait = match member.apply_due().await {
--- a/src/standin/member.rs
+++ b/src/standin/member.rs
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Batch {
     pub term: u64,
-    /// Each term in the primary's log with the index of its first entry.
+    /// Each term in the primary's log, with the index of the term's first entry.
     pub runs: Vec<(u64, u64)>,
     /// Index of the first entry in `entries`.
     pub first: u64,
@@ -176,6 +176,7 @@
         if self.applied <= length {
             return Ok(());
         }
+        // The engine can't undo applied entries, so it is rebuilt from the remaining log.
         let engine = Engine::open().map_err(|error| QueryError::new("XX000", error.to_string()))?;
         self.engine = engine;
         self.applied = 0;
@@ -373,8 +374,8 @@
         Ok(next_batch(&state, from))
     }
 
-    /// Stores entries from a primary, and truncates a log that diverges from the primary's. Returns
-    /// whether entries were added, or have to be requested from an earlier index.
+    /// Stores entries from a primary and truncates the log where it diverges from the primary's.
+    /// Returns whether entries were added or must be requested from an earlier index.
     pub async fn receive(&self, batch: Batch) -> Result<bool, QueryError> {
         let length = batch.first - 1 + batch.entries.len() as u64;
         let (shared_length, log_length) = {
@@ -412,7 +413,8 @@
         Ok(state.log.len() > before)
     }
 
-    /// Applies the entries whose lag is over. Returns the time until the next entry is due.
+    /// Applies the entries for which the replication lag has passed. Returns the time until the next
+    /// entry is due, or `None` if there is none or it can't be applied.
     pub async fn apply_due(&self) -> Option<Duration> {
         let _guard = self.transaction_lock.lock().await;
         let mut state = self.state();
--- a/src/standin/platform_client.rs
+++ b/src/standin/platform_client.rs
@@ -139,7 +139,8 @@
             ..Call::get(&self.address, "/commit", TIMEOUT)
         };
         let (verdict, era): (Verdict, u64) = self.request(call).await?;
-        // If the era changed meanwhile, an expected revision number may belong to another commit.
+        // If the era changed during the request, an expected revision number may belong to another
+        // commit.
         Ok(match (verdict, outdated()) {
             (_, Some(write)) => conflict(write),
             (Verdict::Done(at), None) => Verdict::Done(Revision::new(era, at.number())),
--- a/src/trial/cluster.rs
+++ b/src/trial/cluster.rs
@@ -46,7 +46,7 @@
     pub members: u8,
     /// Replication lag.
     pub lag_ms: u64,
-    /// Time that a statement takes besides the engine's own.
+    /// Delay of each statement, added to its execution time.
     pub service_ms: u64,
     /// Number of statements that a member runs at once.
     pub slots: usize,
--- a/src/trial/journal.rs
+++ b/src/trial/journal.rs
@@ -34,6 +34,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
     pub lost_acknowledged_writes: u64,
+    /// Writes that ran more than once.
     pub double_runs: u64,
     pub stale_own_reads: u64,
     pub backward_reads: u64,
--- a/src/trial/workload.rs
+++ b/src/trial/workload.rs
@@ -21,7 +21,7 @@
     pub sessions: u32,
     pub write_percent: u32,
     pub sale_percent: u32,
-    /// Share of operations that disconnect and continue on another box.
+    /// Percentage of operations that disconnect and continue on another box.
     pub switch_percent: u32,
     /// Pause of a session between two operations.
     pub think_time: Duration,
@@ -304,7 +304,7 @@
     SwitchBox,
 }
 
-/// Counts an error and decides how the session goes on.
+/// Counts an error and returns what the session does next.
 fn record_error(journal: &mut Journal, error: &ClientError) -> NextStep {
     let code = match error {
         ClientError::Lost(_) => "lost".to_owned(),
