--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -12,7 +12,7 @@
 
 use crate::decisions::floors::Scope;
 
-/// Workspaces that get a label of their own; all others share [`OTHERS`].
+/// Number of workspaces with a separate label; all others share [`OTHERS`].
 const MAX_NAMED_WORKSPACES: usize = 200;
 /// Label of the workspaces beyond [`MAX_NAMED_WORKSPACES`].
 const OTHERS: &str = "others";
@@ -35,17 +35,17 @@
     pub replacements: Counter<u64>,
     pub probes: Counter<u64>,
     /// Alerts of a partition that were sent to boxes of the same failure domain.
-    pub cut_warnings: Counter<u64>,
+    pub partition_alerts: Counter<u64>,
     /// Calls to the platform's store, by table and cause.
     store_calls: Counter<u64>,
     settings_reads: Counter<u64>,
     /// Times that the platform's table was replaced by an older copy.
-    pub older_copies: Counter<u64>,
+    pub table_rollbacks: Counter<u64>,
     /// Operations by workspace and by whether its limit admitted them.
     operations: Counter<u64>,
     /// Callers and operations that were refused because their key belongs to no workspace.
-    pub strangers: Counter<u64>,
-    /// Workspaces that have a label of their own.
+    pub unknown_keys: Counter<u64>,
+    /// Workspaces with a separate label.
     named_workspaces: RefCell<BTreeSet<Arc<str>>>,
     /// Time from a statement's arrival to its answer, by declared kind of read and outcome.
     pub answer_ms: Histogram<f64>,
@@ -53,7 +53,7 @@
     pub queue_ms: Histogram<f64>,
     /// Time that members took to answer.
     pub member_ms: Histogram<f64>,
-    /// Time that it took to confirm a write or a read before answering it.
+    /// Time to confirm a write or a read before it is answered.
     pub confirmation_ms: Histogram<f64>,
 }
 
@@ -77,12 +77,12 @@
             forwarded: counter("larkfall_forwarded"),
             replacements: counter("larkfall_replacements"),
             probes: counter("larkfall_probes"),
-            cut_warnings: counter("larkfall_cut_warnings"),
+            partition_alerts: counter("larkfall_cut_warnings"),
             store_calls: counter("larkfall_store_calls"),
             settings_reads: counter("larkfall_settings_reads"),
-            older_copies: counter("larkfall_older_copies"),
+            table_rollbacks: counter("larkfall_older_copies"),
             operations: counter("larkfall_operations"),
-            strangers: counter("larkfall_strangers"),
+            unknown_keys: counter("larkfall_strangers"),
             named_workspaces: RefCell::default(),
             answer_ms: meter.f64_histogram("larkfall_answer_ms").build(),
             queue_ms: meter.f64_histogram("larkfall_queue_ms").build(),
@@ -95,7 +95,7 @@
 }
 
 impl Metrics {
-    /// Records that a statement was answered after `took`.
+    /// Records the answer time of a statement.
     pub fn record_answer(&self, outcome: &'static str, scope: &Scope, took: Duration) {
         let kind = scope.read_kind.as_deref().unwrap_or("none").to_owned();
         let labels = [
@@ -105,9 +105,9 @@
         self.answer_ms.record(took.as_secs_f64() * 1_000.0, &labels);
     }
 
-    /// Counts a call of the platform's store. Its cause is `start` (reading all rows), `retry` (an
-    /// earlier call failed), `stale` (other boxes reported nothing recent), `wait` (long poll for
-    /// changes), or `listing` or `record` (writes).
+    /// Counts a call to the platform's store. The cause is `start` (reading all rows), `retry` (an
+    /// earlier call failed), `stale` (other boxes reported no recent revision), `wait` (long poll
+    /// for changes), or `listing` or `record` (writes).
     pub fn count_store_call(&self, table: &'static str, cause: &'static str) {
         let labels = [KeyValue::new("table", table), KeyValue::new("cause", cause)];
         self.store_calls.add(1, &labels);
