--- a/tests/platform/domain_restart.rs
+++ b/tests/platform/domain_restart.rs
@@ -52,9 +52,9 @@
             None => tokio::time::sleep(POLL_INTERVAL).await,
         }
     };
-    let place = world.boxes[resting].settings.clone();
+    let settings = world.boxes[resting].settings.clone();
     world.boxes[resting].kill();
-    let restarted = Process::start(place);
+    let restarted = Process::start(settings);
     restarted.wait_ready().await;
     expect_that!(count_store_calls(&restarted, "op").await, eq(0));
     expect_that!(count_store_calls(&restarted, "servers").await, eq(0));
--- a/tests/platform/group.rs
+++ b/tests/platform/group.rs
@@ -23,7 +23,8 @@
     pub primary: bool,
     pub term: u64,
     pub log: Vec<Entry>,
-    /// When each entry was received; none for the member's own entries.
+    /// When each entry was received. None for entries that count as applied at once: those that the
+    /// member wrote as primary, and all that it holds at its promotion.
     received: Vec<Option<Instant>>,
     /// Term of the fence, under which the member receives nothing; 0 without a fence.
     pub fence_term: u64,
--- a/tests/platform/malformed_input.rs
+++ b/tests/platform/malformed_input.rs
@@ -81,7 +81,7 @@
     let mut client = world.client(0, STRICT, "a").await;
     let texts = ["WRITE farm 1", "READ farm", "WRITE farm 2", "READ farm"];
     for (i, text) in texts.iter().enumerate() {
-        // Reused ids must not matter: statements are answered by order.
+        // Ids repeat, since answers are matched to statements by order and not by id.
         client
             .send(&format!("QUERY same-{} {text}", i % 2))
             .await
@@ -116,8 +116,8 @@
 #[tokio::test]
 async fn a_member_with_another_id_than_its_entry_gets_no_statement() {
     let mut world = World::start(1).await;
-    let switch = Handle::default();
-    let address = member::start(world.group.clone(), "i-other", 12, switch.clone()).await;
+    let handle = Handle::default();
+    let address = member::start(world.group.clone(), "i-other", 12, handle.clone()).await;
     let entry = json!({
         "backend": "db1", "address": address.to_string(), "zone": "zone-0", "state": "ready",
     });
@@ -125,14 +125,14 @@
     for _ in 0..20 {
         expect_still_serving(&mut world).await;
     }
-    let asked = switch.statements.lock().expect("no panic under the lock");
-    expect_that!(*asked, is_empty());
+    let statements = handle.statements.lock().expect("no panic under the lock");
+    expect_that!(*statements, is_empty());
 }
 
 #[gtest]
 fn invalid_settings_are_refused_with_the_path_of_their_file() {
-    let place = Settings::new("box", "zone-0", "127.0.0.1:1".parse().expect("an address"));
-    let text = place.yaml();
+    let settings = Settings::new("box", "zone-0", "127.0.0.1:1".parse().expect("an address"));
+    let text = settings.yaml();
     let cases = [
         (text.replace("node_name", "other_name"), "node_name"),
         (text.replace("grace_s: 4", "grace_s: soon"), "grace_s"),
--- a/tests/platform/member.rs
+++ b/tests/platform/member.rs
@@ -18,7 +18,7 @@
 pub struct Handle {
     /// Whether the member stops answering, on open and new connections.
     pub frozen: Arc<AtomicBool>,
-    /// Number of the next statements of callers after which the connection closes unanswered.
+    /// Number of callers' next statements that run, but whose connection closes without an answer.
     pub lose_answers: Arc<AtomicU64>,
     /// Number of the next answers with rows that are cut off within the first row.
     pub truncate_rows: Arc<AtomicU64>,
@@ -165,8 +165,11 @@
             .push(text.to_owned());
         if query_id != "-" {
             let statement = (caller.clone(), query_id.to_owned());
-            let all = &member.handle.caller_statements;
-            all.lock().expect("no panic under the lock").push(statement);
+            let caller_statements = &member.handle.caller_statements;
+            caller_statements
+                .lock()
+                .expect("no panic under the lock")
+                .push(statement);
         }
         let answer = {
             let _slot = member.handle.slots.acquire().await.expect("never closed");
@@ -255,6 +258,7 @@
         access(members.get_mut(&self.id).expect("a member of its group"))
     }
 
+    /// Runs a statement if the member has applied the position `floor`.
     fn after(&self, session: &mut Session, id: &str, floor: &str, text: &str) -> String {
         let index: usize = floor
             .split_once('.')
@@ -279,6 +283,7 @@
         })
     }
 
+    /// Fences a replica under a term newer than its own.
     fn pause(&self, term: u64) -> String {
         let accepted = self.with_state(|state| {
             let accepted = !state.primary && term > state.term;
@@ -293,6 +298,7 @@
         }
     }
 
+    /// Makes a primary of a term before this one a replica.
     fn step_down(&self, term: u64) -> String {
         self.with_state(|state| state.primary &= term <= state.term);
         self.status()
--- a/tests/platform/proxy.rs
+++ b/tests/platform/proxy.rs
@@ -100,21 +100,21 @@
     if *impairment.borrow() == Impairment::Reset {
         return Ok(());
     }
-    let member = TcpStream::connect(upstream).await?;
+    let server = TcpStream::connect(upstream).await?;
     caller.set_nodelay(true)?;
-    member.set_nodelay(true)?;
+    server.set_nodelay(true)?;
     let (from_caller, to_caller) = caller.into_split();
-    let (from_member, to_member) = member.into_split();
+    let (from_server, to_server) = server.into_split();
     let mut reset = impairment.clone();
     let held: &[Impairment] = &[Impairment::Silent, Impairment::OneWay];
     let outbound = copy(
         from_caller,
-        to_member,
+        to_server,
         impairment.clone(),
         &held[..1],
         &silence,
     );
-    let inbound = copy(from_member, to_caller, impairment, held, &silence);
+    let inbound = copy(from_server, to_caller, impairment, held, &silence);
     tokio::select! {
         done = outbound => done,
         done = inbound => done,
--- a/tests/platform/replacement.rs
+++ b/tests/platform/replacement.rs
@@ -32,7 +32,7 @@
     let holders: BTreeSet<&str> = orders.iter().map(|order| &*order.holder).collect();
     expect_that!(generations.len(), eq(1));
     expect_that!(holders.len(), eq(1));
-    // The boxes lift the fence of the replica that wasn't promoted.
+    // The boxes release the fence of the replica that wasn't promoted.
     while !world.group.fenced().is_empty() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -50,7 +50,7 @@
         .await;
     expect_that!(world.group.primary(), not(eq("i-0")));
     world.member("i-0").frozen.store(false, Ordering::SeqCst);
-    // The old primary resumes with its old term; boxes must ignore it.
+    // The old primary resumes with its old term; boxes must ignore the member's role.
     let mut other = world.client(1, STRICT, "b").await;
     for round in 2..30 {
         let answer = other.run(&format!("WRITE farm {round}")).await.unwrap();
@@ -79,14 +79,18 @@
         .write_until_acknowledged(&mut client, "WRITE farm after")
         .await;
     let orders = world.store.orders();
-    let used: BTreeSet<(u64, &str)> = orders.iter().map(|o| (o.generation, &*o.holder)).collect();
-    let generations: BTreeSet<u64> = used.iter().map(|(generation, _)| *generation).collect();
+    let token_holders: BTreeSet<(u64, &str)> =
+        orders.iter().map(|o| (o.generation, &*o.holder)).collect();
+    let generations: BTreeSet<u64> = token_holders
+        .iter()
+        .map(|(generation, _)| *generation)
+        .collect();
     // No two boxes use the same fencing token.
-    expect_that!(generations.len(), eq(used.len()));
+    expect_that!(generations.len(), eq(token_holders.len()));
     world.store.set_fault(Fault::None);
     let primary = world.group.primary();
     world.crash_member(&primary);
-    // One of three members is left, which is no majority.
+    // Only one of three members still runs, which is no majority.
     let answer = client.run("WRITE farm alone").await.unwrap();
     expect_that!(answer.error, some(anything()));
 }
@@ -117,12 +121,12 @@
             .write_until_acknowledged(&mut client, "WRITE farm after")
             .await;
         let orders = world.store.orders();
-        let numbers: Vec<u64> = orders.iter().map(|order| order.generation).collect();
-        expect_that!(numbers.is_sorted(), eq(true), "{orders:?}");
-        let used: BTreeSet<(u64, &str)> =
+        let generations: Vec<u64> = orders.iter().map(|order| order.generation).collect();
+        expect_that!(generations.is_sorted(), eq(true), "{orders:?}");
+        let token_holders: BTreeSet<(u64, &str)> =
             orders.iter().map(|o| (o.generation, &*o.holder)).collect();
-        let numbers: BTreeSet<u64> = numbers.into_iter().collect();
-        expect_that!(numbers.len(), eq(used.len()), "{orders:?}");
+        let distinct: BTreeSet<u64> = generations.into_iter().collect();
+        expect_that!(distinct.len(), eq(token_holders.len()), "{orders:?}");
     }
 }
 
@@ -158,7 +162,7 @@
     let world = World::start(2).await;
     let mut client = world.client(0, STRICT, "a").await;
     client.run("WRITE farm before").await.unwrap();
-    // The entry expires while its member still runs.
+    // The store drops the expired entry of a member that still runs.
     world.store.put_raw("servers", "i-2", None);
     for _ in 0..20 {
         let answer = client.run("READ farm").await.unwrap();
@@ -171,8 +175,8 @@
     }
 }
 
-/// Guards against a stopping box that begins to replace the primary and exits before the end, which
-/// leaves fences behind and the group without a primary.
+/// Guards against a stopping box that begins to replace the primary and exits before the
+/// promotion, which leaves replicas fenced and the group without a primary.
 #[gtest]
 #[tokio::test]
 async fn a_stopping_box_leaves_a_replacement_to_others() {
--- a/tests/platform/restarts.rs
+++ b/tests/platform/restarts.rs
@@ -76,7 +76,7 @@
     while world.boxes[0].is_ready().await {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    // The load balancer may still send callers.
+    // A load balancer may send callers until it notices that the box isn't ready.
     let mut late = world.client(0, STRICT, "c").await;
     expect_that!(late.run("READ farm").await.unwrap().error, none());
     let done = client.run("COMMIT").await.unwrap();
@@ -96,7 +96,7 @@
 #[tokio::test]
 async fn a_caller_that_connects_while_a_stopping_box_leaves_the_list_is_served() {
     let mut world = World::start(1).await;
-    // Leaving the list lasts until its timeout.
+    // The box's request to leave the list gets no answer and lasts until its timeout.
     world.store.set_fault(Fault::Silent);
     world.boxes[0].signal(Signal::SIGTERM);
     while world.boxes[0].is_ready().await {
@@ -129,8 +129,8 @@
     expect_that!(client.run("READ farm").await.unwrap().error, none());
 }
 
-/// Guards against rows that a box knows only from a peer and keeps after their removal: a document
-/// of the operator doesn't name removed rows, it only lacks them.
+/// Guards against keeping removed rows that a box learned from a peer alone: the operator's document
+/// doesn't name the rows that it removes.
 #[gtest]
 #[tokio::test]
 async fn a_database_known_only_from_a_peer_is_removed_when_the_store_lacks_it() {
@@ -143,7 +143,7 @@
     world.boxes[2].wait_ready().await;
     let mut client = world.client(2, STRICT, "a").await;
     read_until_outcome(&mut client, None).await;
-    // No box remains that could see the removal.
+    // Ends the other boxes, so that no box sees the removal.
     world.boxes.drain(..2);
     remove_strict_route(&world, 20);
     let mut next = without_strict(24, 2_900);
@@ -199,7 +199,7 @@
 async fn a_silent_table_does_not_delay_other_tables() {
     let world = World::start(1).await;
     let mut client = world.client(0, STRICT, "a").await;
-    // All waiting requests fail, and one table never answers again.
+    // All waiting requests fail, and from then on requests for one table get no answer.
     world.store.set_fault(Fault::Busy);
     world.store.silence_table("servers");
     remove_strict_route(&world, 30);
@@ -207,7 +207,7 @@
     read_until_outcome(&mut client, Some("NODB")).await;
 }
 
-/// Guards against a box that refuses existing databases after a start.
+/// Guards against a box that refuses existing databases while it starts.
 #[gtest]
 #[tokio::test]
 async fn a_box_that_has_not_read_the_manifest_yet_refuses_no_database() {
--- a/tests/platform/sessions.rs
+++ b/tests/platform/sessions.rs
@@ -34,8 +34,8 @@
 #[tokio::test]
 async fn a_session_reads_its_own_writes_and_bounded_reads_use_replicas() {
     let world = World::start(2).await;
-    for (_, _, switch) in &world.members {
-        switch.lag_ms.store(150, Ordering::SeqCst);
+    for (_, _, handle) in &world.members {
+        handle.lag_ms.store(150, Ordering::SeqCst);
     }
     let mut client = world.client(0, OWN_WRITES, "a").await;
     for round in 0..20 {
@@ -47,7 +47,7 @@
     let replica_reads = || -> u64 {
         let replicas = world.members[1..].iter();
         replicas
-            .map(|(_, _, s)| s.reads.load(Ordering::SeqCst))
+            .map(|(_, _, handle)| handle.reads.load(Ordering::SeqCst))
             .sum()
     };
     let before = replica_reads();
@@ -65,8 +65,8 @@
     for text in ["BEGIN", "WRITE farm mine"] {
         expect_that!(first.run(text).await.unwrap().state, eq("T"));
     }
-    let seen = second.run("READ farm").await.unwrap();
-    expect_that!(seen.rows, elements_are![eq("none []")]);
+    let concurrent = second.run("READ farm").await.unwrap();
+    expect_that!(concurrent.rows, elements_are![eq("none []")]);
     expect_that!(
         first.run("READ farm").await.unwrap().rows,
         elements_are![eq("mine []")]
@@ -143,12 +143,12 @@
     }
     // The box rolls back the member's connection when the idle timeout expires.
     let rolled_back = || {
-        let asked = world.members[0]
+        let statements = world.members[0]
             .2
             .statements
             .lock()
             .expect("no panic under the lock");
-        asked.iter().any(|text| text == "ROLLBACK")
+        statements.iter().any(|text| text == "ROLLBACK")
     };
     while !rolled_back() {
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -180,8 +180,8 @@
     expect_that!(write.error, some(eq("UNKNOWN")));
     expect_that!(write.state, eq("I"));
     let mut panel = world.client(0, BOUNDED, "b").await;
-    for (_, _, switch) in &world.members {
-        switch.truncate_rows.store(1, Ordering::SeqCst);
+    for (_, _, handle) in &world.members {
+        handle.truncate_rows.store(1, Ordering::SeqCst);
     }
     let read = panel.run("READ farm").await.unwrap();
     expect_that!(read.error, none());
@@ -195,7 +195,7 @@
     let mut next = manifest(9, 3_000);
     let routes = next["routes"].as_array_mut().expect("routes");
     routes.retain(|route| route["hostname"] != STRICT);
-    routes[0]["hostname"] = "fresh".into();
+    routes[0]["hostname"] = "renamed".into();
     world.store.put("op", "config", &next);
     loop {
         let answer = client.run("READ farm").await.unwrap();
@@ -205,7 +205,10 @@
         }
     }
     let front = world.boxes[0].settings.front;
-    expect_that!(Client::connect(front, "fresh", "b").await.is_ok(), eq(true));
+    expect_that!(
+        Client::connect(front, "renamed", "b").await.is_ok(),
+        eq(true)
+    );
 }
 
 #[gtest]
@@ -229,7 +232,7 @@
         served += task.await.expect("no panic");
     }
     expect_that!(served, gt(0));
-    for (_, _, switch) in &world.members {
-        expect_that!(switch.peak_connections.load(Ordering::SeqCst), le(12));
+    for (_, _, handle) in &world.members {
+        expect_that!(handle.peak_connections.load(Ordering::SeqCst), le(12));
     }
 }
--- a/tests/platform/silent_connections.rs
+++ b/tests/platform/silent_connections.rs
@@ -15,11 +15,12 @@
 use super::store::Fault;
 use super::world::{OWN_WRITES, STRICT, World};
 
-/// The shortest deadline that users set for a box with working connections to know all changes.
+/// The shortest deadline that users set for a box with working connections to learn of a change.
 const CONTACT_DEADLINE: Duration = Duration::from_secs(4);
-/// Questions to the silent peer after which a test fails.
-const MAX_QUESTIONS: usize = 20;
-/// Much shorter than a box's timeout for a peer's answer.
+/// Requests to the silent peer after which the test fails.
+const MAX_REQUESTS: usize = 20;
+/// Time for which a request must stay open to count as waiting; much shorter than a box's timeout
+/// for a peer's answer.
 const OPEN_CHECK: Duration = Duration::from_millis(100);
 
 #[gtest]
@@ -35,8 +36,8 @@
     for proxy in &proxies {
         proxy.silence_open_connections();
     }
-    // Nobody can tell whether the write ran. It succeeds when the box noticed the silence before
-    // sending the write.
+    // The box can't tell whether a write ran that it sent on a silent connection. The write
+    // succeeds if the box noticed the silence before sending it.
     let answer = writer.run("WRITE farm second").await.unwrap();
     let code = answer.error.as_deref();
     expect_that!(code, any![none(), some(eq("UNKNOWN"))]);
@@ -66,8 +67,8 @@
     expect_that!(world.store.orders(), is_empty());
 }
 
-/// Guards against a change that takes effect too late after silence, because the timeouts of the
-/// silent wait, of the retry and of the new connection add up.
+/// Guards against a change that takes effect too late after silence, because the timeout of the
+/// silent wait, the delay of the retry and the timeout of the new connection add up.
 #[gtest]
 fn a_wait_on_a_silent_connection_times_out_and_is_retried_in_time() {
     let latest = http::DEAD_CONNECTION_TIMEOUT + table::FIRST_RETRY_DELAY + http::CONNECT_TIMEOUT;
@@ -86,17 +87,17 @@
     let control = settings.control;
     let _box = Process::start(settings);
     let client = Client::new([127, 0, 0, 1].into());
-    let question = rmp_serde::to_vec(&ScanRequest {
+    let request = rmp_serde::to_vec(&ScanRequest {
         since: 0.into(),
         digest: 1,
     });
-    let question = question.expect("plain data");
-    for _ in 0..MAX_QUESTIONS {
-        let (mut question_stream, _) = peer.accept().await.expect("a question");
+    let request = request.expect("plain data");
+    for _ in 0..MAX_REQUESTS {
+        let (mut peer_stream, _) = peer.accept().await.expect("a request");
         let address = control.to_string();
-        let answer = client.post(&address, peers::SCAN, question.clone(), CONTACT_DEADLINE);
+        let answer = client.post(&address, peers::SCAN, request.clone(), CONTACT_DEADLINE);
         expect_that!(answer.await.is_ok(), eq(true));
-        if is_open_for(&mut question_stream, OPEN_CHECK).await {
+        if is_open_for(&mut peer_stream, OPEN_CHECK).await {
             return;
         }
     }
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -31,7 +31,7 @@
 const RECOVERY_TIME: Duration = Duration::from_secs(4);
 /// Lines of each box's log that the report of a violation holds.
 const REPORTED_LOG_LINES: usize = 12;
-/// Error codes that guarantee that the statement had no effect.
+/// Error codes which guarantee that the statement had no effect.
 const NO_EFFECT_CODES: [&str; 6] = [
     "RETRY",
     "ABORTED",
@@ -96,17 +96,17 @@
     stop: AtomicBool,
     /// The next number of a session or of a write.
     next: AtomicU64,
-    world: Environment,
+    world: CallerWorld,
 }
 
-/// The parts of the world that callers use.
-struct Environment {
+/// The parts of [`World`] that callers use.
+struct CallerWorld {
     group: Group,
     store: super::store::Store,
     fronts: Vec<std::net::SocketAddr>,
 }
 
-impl Environment {
+impl CallerWorld {
     fn promotions(&self) -> usize {
         self.store.orders().len()
     }
@@ -334,12 +334,12 @@
             world.bump_manifest_version(1);
         }
     }
-    let beside = if killed {
+    let suffix = if killed {
         format!(", box {index} killed")
     } else {
         String::new()
     };
-    format!("{times} older copies{beside}")
+    format!("{times} older copies{suffix}")
 }
 
 /// Runs a seed. Returns the counts and the descriptions of the injected faults.
@@ -349,7 +349,7 @@
         history: Mutex::default(),
         stop: AtomicBool::new(false),
         next: AtomicU64::new(1),
-        world: Environment {
+        world: CallerWorld {
             group: world.group.clone(),
             store: world.store.clone(),
             fronts: world.boxes.iter().map(|b| b.settings.front).collect(),
--- a/tests/platform/store_reads.rs
+++ b/tests/platform/store_reads.rs
@@ -158,18 +158,18 @@
             let first = scan_until(&mirror, "i-0").await;
             expect_that!(first.lag_ms, none());
             store.put("servers", "i-1", &entry_in_state("draining"));
-            let prompt = scan_until(&mirror, "i-1")
+            let prompt_lag = scan_until(&mirror, "i-1")
                 .await
                 .lag_ms
                 .map(Duration::from_millis);
-            expect_that!(prompt, some(lt(DEAD_CONNECTION_TIMEOUT)));
+            expect_that!(prompt_lag, some(lt(DEAD_CONNECTION_TIMEOUT)));
             proxy.silence_open_connections();
             store.put("servers", "i-2", &entry_in_state("draining"));
-            let silent = scan_until(&mirror, "i-2")
+            let silent_lag = scan_until(&mirror, "i-2")
                 .await
                 .lag_ms
                 .map(Duration::from_millis);
-            expect_that!(silent, some(ge(DEAD_CONNECTION_TIMEOUT)));
+            expect_that!(silent_lag, some(ge(DEAD_CONNECTION_TIMEOUT)));
         })
         .await;
 }
--- a/tests/platform/store_restore.rs
+++ b/tests/platform/store_restore.rs
@@ -26,9 +26,9 @@
 /// Delay after a restore until the operator and members repeat their lost writes.
 const REWRITE_DELAY: Duration = Duration::from_millis(300);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A rewrite delay longer than any test, so that nobody repeats lost writes.
+/// A rewrite delay longer than any test, so that lost writes aren't repeated.
 const NEVER: Duration = Duration::from_secs(600);
-/// Time to wait for boxes to list themselves again.
+/// Deadline for boxes to list themselves again.
 const LISTING_DEADLINE: Duration = Duration::from_secs(20);
 /// Number of connection attempts that must all be refused.
 const ATTEMPTS: usize = 40;
@@ -59,7 +59,7 @@
 }
 
 /// Guards against boxes that compare revisions by number alone: the restored store's numbers are
-/// lower, so boxes would ignore its rows until the counter passes the numbers from before.
+/// lower, so boxes would ignore its rows until its numbers pass those from before the restore.
 #[gtest]
 #[tokio::test]
 async fn a_change_after_a_restore_takes_effect_in_time() {
@@ -249,11 +249,11 @@
     let check = async {
         let mirror = start_mirror(&store).await;
         let read = collect_rows_until(&mirror, "duty/a").await;
-        let known = read.iter().find(|row| *row.key == *"duty/a");
-        let known = known.expect("it was read").revision;
+        let row = read.iter().find(|row| *row.key == *"duty/a");
+        let revision = row.expect("the row was read").revision;
         store.restore(earlier, NEVER);
         store.put("larkfall", "duty/a", &duty("another"));
-        let verdict = claim(&mirror, known).await;
+        let verdict = claim(&mirror, revision).await;
         expect_that!(verdict, matches_pattern!(Verdict::Conflict { .. }));
     };
     LocalSet::new().run_until(check).await;
@@ -281,8 +281,8 @@
     expect_that!(listed.is_ok(), eq(true));
 }
 
-/// Guards against requests that reach a draining member too late: its entry was lost in the restore,
-/// and a box would count the entry's age from the repeated write alone.
+/// Guards against statements that a box sends to a draining member for too long: the restore lost
+/// the member's entry, and the box would count the entry's age from the repeated write alone.
 #[gtest]
 #[tokio::test]
 async fn the_age_of_a_repeated_entry_includes_the_silence_before_a_restore() {
--- a/tests/platform/workspaces.rs
+++ b/tests/platform/workspaces.rs
@@ -59,7 +59,7 @@
 fn received_statements(world: &World) -> Vec<(String, String)> {
     let members = world.members.iter();
     let statements =
-        members.flat_map(|(_, _, switch)| switch.caller_statements.lock().unwrap().clone());
+        members.flat_map(|(_, _, handle)| handle.caller_statements.lock().unwrap().clone());
     statements.collect()
 }
 
@@ -223,7 +223,7 @@
         expect_that!(other.run("READ farm").await.unwrap().error, none());
     }
     let seconds = began.elapsed().as_secs_f64();
-    // The burst, and the rate for a second more than the load has run.
+    // The burst, and the rate for one second longer than the load ran.
     expect_that!(f64::from(ran), le(10.0 + 10.0 * (seconds + 1.0)));
     expect_that!(ran, ge(10));
     expect_that!(refused, ge(1));
@@ -238,7 +238,7 @@
     document["tenants"][0]["rate_per_s"] = json!(100);
     document["tenants"][0]["burst"] = json!(3);
     for route in document["routes"].as_array_mut().expect("routes") {
-        // Operations wait for at most a quarter of the target latency, enough for the whole burst.
+        // Operations queue for at most a quarter of the target latency, enough for the whole burst.
         route["target_latency_ms"] = json!(8_000);
     }
     apply_manifest(&world, &document).await;
--- a/tests/system/hostile.rs
+++ b/tests/system/hostile.rs
@@ -60,7 +60,7 @@
             "nonsense",
             "v9.1.1",
         ] {
-            let mut roaming = cluster
+            let mut session = cluster
                 .connect(1, "market", Some(token))
                 .await
                 .expect("connects");
@@ -73,13 +73,14 @@
                     .ok();
                 answer?.number()
             };
-            // v1.0.0 is a valid floor that any replica meets, so the row may be seen late.
+            // v1.0.0 is a valid position that every replica has reached, so a replica may answer
+            // before it has the row.
             wait_until("the row is read", async || read().await == Some(1))
                 .await
                 .expect("the row is read");
-            let answer = roaming.query("SELECT count(*) FROM seed").await;
+            let answer = session.query("SELECT count(*) FROM seed").await;
             expect_that!(answer.expect("reads").number(), some(eq(1)), "{token}");
-            let token = roaming.token.expect("a token is reported");
+            let token = session.token.expect("a token is reported");
             expect_that!(token.starts_with("v1.1."), eq(true), "{token}");
         }
     });
@@ -162,7 +163,7 @@
     });
 }
 
-/// The outcome must be reported as unknown: a caller repeats a write that is reported as not run.
+/// Guards against reporting the write as not run: the caller would repeat it.
 #[gtest]
 fn a_write_whose_answer_is_lost_has_an_unknown_outcome() {
     with_cluster(Shape::default(), async |cluster| {
@@ -173,11 +174,14 @@
         ] {
             client.query(text).await.expect("writes");
         }
-        let lost = Faults {
+        let drop_answers = Faults {
             drop_answers: true,
             ..Faults::default()
         };
-        cluster.set_faults(0, 0, &lost).await.expect("switches");
+        cluster
+            .set_faults(0, 0, &drop_answers)
+            .await
+            .expect("switches");
         let answer = client.query("INSERT INTO coin VALUES (2)").await;
         expect_that!(answer.expect_err("no answer").code(), eq("40003"));
         cluster
--- a/tests/system/many.rs
+++ b/tests/system/many.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// A declared kind of read.
+/// Returns the resource that declares a kind of read.
 fn read_kind(name: &str, max_age_ms: u64) -> Value {
     let spec =
         json!({ "partner": "huerto", "group": "market", "name": name, "max_age_ms": max_age_ms });
@@ -390,8 +390,8 @@
             for owners in [1, 3, 1, 4, 2, 3, 1] {
                 let mut declared = cluster.declarations("huerto");
                 declared[0]["spec"]["owners"] = json!(owners);
-                let done = apply(cluster, 0, &declared).await.expect("is accepted");
-                let revision = done["revision"].as_u64().expect("has a revision");
+                let applied = apply(cluster, 0, &declared).await.expect("is accepted");
+                let revision = applied["revision"].as_u64().expect("has a revision");
                 cluster.wait_for_revision(revision).await.expect("in force");
                 wait_for_acks(&workload, 15).await;
             }
