--- a/tests/platform/leaving.rs
+++ b/tests/platform/leaving.rs
@@ -1,6 +1,6 @@
 //! Members that leave before a box starts.
 //!
-//! The drain time, during which a leaving member still gets statements, counts from the member's
+//! The drain limit, after which a leaving member gets no more statements, counts from the member's
 //! announcement that it leaves, not from when a box starts or learns of the announcement.
 
 use std::time::Duration;
@@ -65,7 +65,7 @@
     let mut first = world.client(0, STRICT, "e").await;
     first.run("WRITE farm first").await.unwrap();
     world.drain_member("i-0");
-    // A box that starts before the member's drain time ends still sends statements to the member.
+    // A box that starts before the member's drain limit still sends statements to the member.
     add_ready_box(&mut world, 1).await;
     // Until the new box knows the primary, it forwards statements to the first box.
     world.wait_for_primary().await;
@@ -78,8 +78,8 @@
     expect_that!(accepts_writes(&mut third).await, eq(false));
 }
 
-/// If no running box saw the announcement, its age is unknown, and the member's drain time may have
-/// ended.
+/// If no running box saw the announcement, its age is unknown, and the drain limit may have
+/// passed.
 #[gtest]
 #[tokio::test]
 async fn a_member_that_left_before_any_box_started_gets_no_statements() {
