--- a/tests/system/hostile.rs
+++ b/tests/system/hostile.rs
@@ -146,7 +146,7 @@
             cluster
                 .set_faults(0, member, &faults)
                 .await
-                .expect("switches");
+                .expect("the faults are set");
             let target = reads_done(&workload) + 100;
             wait_until("reads are answered", async || {
                 reads_done(&workload) >= target
@@ -156,7 +156,7 @@
             cluster
                 .set_faults(0, member, &Faults::default())
                 .await
-                .expect("switches");
+                .expect("the faults are set");
         }
         let (verdict, _) = workload.finish().await.expect("the rows can be read");
         expect_that!(verdict, eq(Verdict::default()));
@@ -181,13 +181,13 @@
         cluster
             .set_faults(0, 0, &drop_answers)
             .await
-            .expect("switches");
+            .expect("the faults are set");
         let answer = client.query("INSERT INTO coin VALUES (2)").await;
         expect_that!(answer.expect_err("no answer").code(), eq("40003"));
         cluster
             .set_faults(0, 0, &Faults::default())
             .await
-            .expect("switches");
+            .expect("the faults are set");
     });
 }
 
--- a/tests/system/many.rs
+++ b/tests/system/many.rs
@@ -63,7 +63,7 @@
         cluster
             .set_platform_faults(&refuse)
             .await
-            .expect("switches");
+            .expect("the faults are set");
         wait_for_acks(&workload, 20).await;
         cluster.members[0][0].handle.kill();
         wait_for_acks(&workload, 30).await;
@@ -72,7 +72,7 @@
         cluster
             .set_platform_faults(&Faults::default())
             .await
-            .expect("switches");
+            .expect("the faults are set");
         wait_until("changes are accepted again", async || {
             apply(cluster, 1, &[read_kind("late", 7)]).await.is_ok()
         })
@@ -141,7 +141,7 @@
             cluster
                 .set_platform_faults(&refuse)
                 .await
-                .expect("switches");
+                .expect("the faults are set");
             cluster.boxes[2].handle.kill();
             let restarted = cluster.start_box(&processes(), 2);
             cluster.boxes[2] = restarted;
@@ -244,7 +244,7 @@
         cluster
             .set_platform_faults(&drop_answers)
             .await
-            .expect("switches");
+            .expect("the faults are set");
         let change = [read_kind("panel", 77)];
         let applied = apply(cluster, 0, &change);
         let end_faults = async {
@@ -252,7 +252,7 @@
             cluster
                 .set_platform_faults(&Faults::default())
                 .await
-                .expect("switches");
+                .expect("the faults are set");
         };
         let (applied, ()) = tokio::join!(applied, end_faults);
         let revision = applied.expect("is accepted")["revision"]
