--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -179,8 +179,8 @@
     settings: Settings,
     domain: Arc<str>,
     members: Vec<Member>,
-    replace: Failover,
-    confirm: Waiters,
+    failover: Failover,
+    unconfirmed: Waiters,
     history: History,
     /// Newest position of the present term that a majority is known to hold.
     majority_position: Position,
@@ -249,11 +249,11 @@
         let member = |spec: &MemberSpec| Member::new(spec.clone(), capacity, &settings, now);
         let members: Vec<Member> = plan.members.iter().map(member).collect();
         let mut group = Self {
-            replace: Failover::new(settings.replace, members.len(), rank),
+            failover: Failover::new(settings.failover, members.len(), rank),
             settings,
             domain,
             members,
-            confirm: Waiters::default(),
+            unconfirmed: Waiters::default(),
             history: History::default(),
             majority_position: Position::ZERO,
             waiting: Waiting::default(),
@@ -291,11 +291,11 @@
     }
 
     pub fn term(&self) -> u64 {
-        self.replace.term
+        self.failover.term
     }
 
     pub fn primary(&self) -> Option<usize> {
-        self.replace.primary
+        self.failover.primary
     }
 
     /// Whether this owner suspects each member, by index.
@@ -306,7 +306,7 @@
     /// Sets this owner's rank, and the factor by which a box with many groups probes less
     /// often.
     pub fn set_rank(&mut self, rank: u32, load_factor: u32) {
-        self.replace.set_rank(rank);
+        self.failover.set_rank(rank);
         self.load_factor = load_factor;
         self.update_probe_periods();
     }
@@ -315,11 +315,11 @@
     /// rate, which limits the control traffic.
     fn update_probe_periods(&mut self) {
         let settings = self.settings;
-        let rank_factor = match self.replace.rank() {
+        let rank_factor = match self.failover.rank() {
             0 => 1,
             _ => settings.secondary_period_factor,
         };
-        let primary = self.replace.primary;
+        let primary = self.failover.primary;
         for (i, member) in self.members.iter_mut().enumerate() {
             let role_factor = match primary {
                 Some(primary) if primary != i => settings.secondary_period_factor,
@@ -332,21 +332,21 @@
 
     /// The ballot from which the generation of this owner's promotion order is derived.
     pub fn ballot(&self) -> Ballot {
-        self.replace.ballot()
+        self.failover.ballot()
     }
 
     /// The bid that this owner's ballot of `term` sends to a member.
-    pub fn bid(&self, term: u64) -> Fence {
+    pub fn fence_request(&self, term: u64) -> Fence {
         Fence {
             term,
-            replaced: self.replace.replaced_term(),
-            known_promise: self.replace.promised_before_ballot(),
+            replaced: self.failover.replaced_term(),
+            known_promise: self.failover.promised_before_ballot(),
         }
     }
 
     /// Whether this owner is replacing the primary.
     pub fn is_deposing(&self) -> bool {
-        self.replace.is_deposing()
+        self.failover.is_deposing()
     }
 
     /// Whether this owner reaches a majority; `None` while that is not known yet.
@@ -355,14 +355,14 @@
             return Some(true);
         }
         let probed = now >= self.started_at + self.settings.detect.period;
-        let known = self.replace.primary.is_some() || (probed && !self.may_see_majority());
+        let known = self.failover.primary.is_some() || (probed && !self.may_see_majority());
         known.then_some(false)
     }
 
     /// Whether this owner suspects the primary of `term`, for a peer that asks.
     pub fn suspects_primary(&self, term: u64) -> bool {
-        match self.replace.primary {
-            Some(primary) if self.replace.term <= term => self.members[primary].suspected,
+        match self.failover.primary {
+            Some(primary) if self.failover.term <= term => self.members[primary].suspected,
             Some(_) => false,
             None => true,
         }
@@ -412,7 +412,7 @@
             }
             Event::OpinionRequested => {
                 // Owners other than the first probe rarely.
-                if let Some(primary) = self.replace.primary {
+                if let Some(primary) = self.failover.primary {
                     self.members[primary].detector.expedite_probe(now);
                 }
             }
@@ -449,29 +449,31 @@
                 term,
                 answer,
             } => {
-                let steps = self.replace.handle_fence_answer(member, term, &answer, now);
+                let steps = self
+                    .failover
+                    .handle_fence_answer(member, term, &answer, now);
                 self.apply_steps(steps, now, &mut out);
             }
             Event::DutyClaimed { won } => {
-                let steps = self.replace.handle_claim(won, now);
+                let steps = self.failover.handle_claim(won, now);
                 self.apply_steps(steps, now, &mut out);
             }
-            Event::DutyTakenElsewhere => self.replace.record_rival_claim(now),
+            Event::DutyTakenElsewhere => self.failover.record_rival_claim(now),
             Event::RevokeLease => self.revoke_lease(now),
             Event::LeasesRevoked { term } => {
-                let steps = self.replace.handle_revoked(term, now);
+                let steps = self.failover.handle_revoked(term, now);
                 self.apply_steps(steps, now, &mut out);
             }
             Event::BoxListed { listed } => self.listed = listed,
             Event::Promoted { term, answer } => {
-                let steps = self.replace.handle_promotion_answer(term, &answer, now);
+                let steps = self.failover.handle_promotion_answer(term, &answer, now);
                 self.apply_steps(steps, now, &mut out);
             }
             Event::OpinionReceived {
                 from,
-                near,
+                same_domain: near,
                 suspects,
-            } => self.replace.record_opinion(from, near, suspects),
+            } => self.failover.record_opinion(from, near, suspects),
             Event::PrimaryAnnounced { term, primary } => {
                 self.learn_primary(term, &primary, now, &mut out)
             }
@@ -497,9 +499,9 @@
 
     /// Asserts the invariants, after every event.
     fn check_invariants(&self) {
-        if let Some(primary) = self.replace.primary {
+        if let Some(primary) = self.failover.primary {
             assert!(primary < self.members.len(), "the primary is a member");
-            assert!(self.replace.term > 0, "a primary has a term");
+            assert!(self.failover.term > 0, "a primary has a term");
         }
         for id in self.waiting.for_primary.keys() {
             assert!(
@@ -525,14 +527,14 @@
         });
         let margin = match self.settings.wait_until_deadline {
             true => dispatch::REFUSAL_MARGIN,
-            false => self.settings.replace.ballot_timeout,
+            false => self.settings.failover.ballot_timeout,
         };
         let for_primary = self.waiting.for_primary.values();
         let for_primary = for_primary.map(|request| request.deadline.saturating_sub(margin));
         let for_position = self.waiting.for_position.values().map(|r| r.deadline);
         let for_replica = self.waiting.for_replica.values().map(|(_, until)| *until);
         let queued = self.members.iter().filter_map(|m| m.queue.next_expiry());
-        let lease = (!self.confirm.is_empty() && !self.settings.replace.lease.is_zero())
+        let lease = (!self.unconfirmed.is_empty() && !self.settings.failover.lease.is_zero())
             .then(|| self.settings.probe_gap.max(MIN_LEASE_PROBE_INTERVAL));
         let lease = lease.zip(self.members.iter().filter_map(|m| m.last_probe).max());
         let lease = lease.map(|(gap, probed)| probed + gap);
@@ -542,7 +544,7 @@
             .filter(|m| !m.drain_expired && !m.removed);
         let drained =
             draining.filter_map(|m| Some(m.departure?.time_at_age(m.drain_time(&self.settings))));
-        let replace = self.replace.wake().into_iter();
+        let replace = self.failover.wake().into_iter();
         let replace = replace.chain(self.next_handover_check).chain(drained);
         let all = probes
             .chain(for_primary)
@@ -594,14 +596,14 @@
         let members = members.filter(|(_, member)| !member.superseded);
         GroupDump {
             id: self.plan.id.clone(),
-            term: self.replace.term,
+            term: self.failover.term,
             primary: self
-                .replace
+                .failover
                 .primary
                 .map(|primary| self.members[primary].spec.name.clone()),
-            phase: self.replace.phase(),
+            phase: self.failover.phase(),
             waiting_for_primary: self.waiting.for_primary.len(),
-            waiting_for_confirmation: self.confirm.len(),
+            waiting_for_confirmation: self.unconfirmed.len(),
             members: members.map(member).collect(),
         }
     }
--- a/src/decisions/group/confirmation.rs
+++ b/src/decisions/group/confirmation.rs
@@ -15,14 +15,14 @@
         out: &mut Vec<Action>,
     ) {
         let primary_suffices = self.plan.group.durability != Durability::Majority;
-        if primary_suffices && !self.settings.replace.lease.is_zero() {
+        if primary_suffices && !self.settings.failover.lease.is_zero() {
             return self.confirm_write_under_lease(id, member, position, deadline, now, out);
         }
         let outcome = if primary_suffices {
             Some(Outcome::Confirmed)
-        } else if position.term < self.replace.term {
+        } else if position.term < self.failover.term {
             Some(Outcome::Unknown)
-        } else if self.replace.majority() == 1 {
+        } else if self.failover.majority() == 1 {
             Some(Outcome::Confirmed)
         } else {
             None
@@ -31,7 +31,7 @@
             return;
         }
         let need = Need::Held(position);
-        self.confirm.add(id, need, Some(member), now, deadline);
+        self.unconfirmed.add(id, need, Some(member), now, deadline);
         self.request_confirmation_probes(now);
     }
 
@@ -46,7 +46,7 @@
         now: Duration,
         out: &mut Vec<Action>,
     ) {
-        let leads = Some(member) == self.replace.primary;
+        let leads = Some(member) == self.failover.primary;
         let outcome = match (leads, self.holds_lease(now)) {
             (false, _) => Some(Outcome::Unknown),
             (true, true) => Some(Outcome::Confirmed),
@@ -56,8 +56,8 @@
             return;
         }
         // Before its first write in a term, a primary may report the previous term.
-        let need = Need::Received(Position::new(self.replace.term, position.index));
-        self.confirm.add(id, need, Some(member), now, deadline);
+        let need = Need::Received(Position::new(self.failover.term, position.index));
+        self.unconfirmed.add(id, need, Some(member), now, deadline);
         self.request_confirmation_probes(now);
     }
 
@@ -86,9 +86,9 @@
             .term_confirmed_at(now)
             .is_some_and(|moment| moment >= since)
             || self.holds_lease(now);
-        let outcome = if self.replace.majority() == 1 {
+        let outcome = if self.failover.majority() == 1 {
             Some(Outcome::Confirmed)
-        } else if need.term() < self.replace.term {
+        } else if need.term() < self.failover.term {
             Some(Outcome::Unknown)
         } else if current && matches!(need, Need::Unfenced(_)) {
             Some(Outcome::Confirmed)
@@ -98,20 +98,20 @@
         if Self::settle_if_known(id, outcome, out) {
             return;
         }
-        self.confirm.add(id, need, None, since, deadline);
+        self.unconfirmed.add(id, need, None, since, deadline);
         self.request_confirmation_probes(now);
     }
 
     /// Advances the newest position that a majority is known to hold.
     pub(super) fn update_majority_position(&mut self) {
-        let term = self.replace.term;
+        let term = self.failover.term;
         let log_of_term = |member: &Member| {
             let log = member.status()?.log;
             (log.term == term).then_some(log)
         };
         let mut logs: Vec<Position> = self.members.iter().filter_map(log_of_term).collect();
         logs.sort_unstable_by(|a, b| b.cmp(a));
-        if let Some(log) = logs.get(self.replace.majority() - 1) {
+        if let Some(log) = logs.get(self.failover.majority() - 1) {
             self.majority_position = self.majority_position.max(*log);
         }
     }
@@ -124,7 +124,7 @@
     }
 
     pub(super) fn settle(ended: Vec<(u64, Outcome)>, out: &mut Vec<Action>) {
-        let settle = |(id, outcome)| Action::Settle { id, outcome };
+        let settle = |(id, outcome)| Action::ReportOutcome { id, outcome };
         out.extend(ended.into_iter().map(settle));
     }
 }
--- a/src/decisions/group/dispatch.rs
+++ b/src/decisions/group/dispatch.rs
@@ -45,10 +45,10 @@
 
     /// Returns the primary if it answers and a majority can confirm its writes.
     pub(super) fn writable_primary(&self) -> Option<usize> {
-        let primary = self.replace.primary?;
+        let primary = self.failover.primary?;
         let known = &self.members[primary];
         let leaving = match self.settings.serve_leaving {
-            true => self.replace.is_deposing() || known.drain_expired,
+            true => self.failover.is_deposing() || known.drain_expired,
             false => known.spec.leaving,
         };
         let usable = !known.suspected && !leaving && self.sees_majority();
@@ -58,19 +58,19 @@
     /// Whether a majority of the members has reported and is not suspected.
     pub(super) fn sees_majority(&self) -> bool {
         let trusted = |(i, member): &(usize, &Member)| {
-            self.replace.is_acceptor(*i) && !member.suspected && member.report.is_some()
+            self.failover.is_acceptor(*i) && !member.suspected && member.report.is_some()
         };
         let members = self.members.iter().enumerate();
-        members.filter(trusted).count() >= self.replace.majority()
+        members.filter(trusted).count() >= self.failover.majority()
     }
 
     /// Whether a majority of the members is not suspected. Unlike [`Self::sees_majority`] this
     /// counts members without a report, which may only be short of connections for a moment.
     pub(super) fn may_see_majority(&self) -> bool {
         let unsuspected =
-            |(i, member): &(usize, &Member)| self.replace.is_acceptor(*i) && !member.suspected;
+            |(i, member): &(usize, &Member)| self.failover.is_acceptor(*i) && !member.suspected;
         let members = self.members.iter().enumerate();
-        members.filter(unsuspected).count() >= self.replace.majority()
+        members.filter(unsuspected).count() >= self.failover.majority()
     }
 
     /// Lets a request wait for a primary, or refuses it if none is expected in time.
@@ -98,7 +98,7 @@
                 ..Refusal::new(Reason::CutOff, wait)
             });
         }
-        if let Some(name) = self.replace.peers_reaching_primary().next() {
+        if let Some(name) = self.failover.peers_reaching_primary().next() {
             return Some(Refusal {
                 via: Via::Named(name.clone()),
                 ..Refusal::new(Reason::CutOff, self.settings.cut_off_retry)
@@ -108,7 +108,7 @@
             let wait = self.settings.cut_off_retry;
             return Some(Refusal::new(Reason::NoSuccessor, wait));
         }
-        let remaining = self.replace.expected_remaining(now);
+        let remaining = self.failover.expected_remaining(now);
         let needed = match self.settings.wait_until_deadline {
             true => REFUSAL_MARGIN,
             false => remaining,
@@ -120,7 +120,7 @@
     /// Whether the primary's drain time is over and no member could take over.
     fn has_no_successor(&self) -> bool {
         let expired = |primary: usize| self.members[primary].drain_expired;
-        self.replace.primary.is_some_and(expired) && self.successors() == 0
+        self.failover.primary.is_some_and(expired) && self.successors() == 0
     }
 
     /// Whether a caller refused by a cut-off box should try another owner. Where every box is
@@ -134,7 +134,7 @@
 
     /// Whether the primary is known to have reached a floor.
     pub(super) fn primary_reached(&self, floor: Position) -> bool {
-        let Some(primary) = self.replace.primary else {
+        let Some(primary) = self.failover.primary else {
             return false;
         };
         let primary = &self.members[primary];
@@ -193,7 +193,7 @@
         now: Duration,
         out: &mut Vec<Action>,
     ) {
-        if self.replace.term < demand.floor.term {
+        if self.failover.term < demand.floor.term {
             // The session has seen writes of a newer primary than the known one.
             self.request_probes();
             return self.wait_for_primary(request, now, out);
@@ -232,7 +232,7 @@
     /// Requests probes of the replicas, and of the primary, whose position tells the replicas'
     /// age.
     pub(super) fn request_read_probes(&mut self, now: Duration) {
-        let gap = match self.settings.replace.lease.is_zero() {
+        let gap = match self.settings.failover.lease.is_zero() {
             true => Duration::ZERO,
             false => READ_PROBE_INTERVAL,
         };
@@ -248,10 +248,10 @@
     /// replica would.
     fn primary_as_candidate(&self, now: Duration) -> Option<Candidate> {
         let cost = self.settings.primary_cost?;
-        let primary = self.replace.primary?;
+        let primary = self.failover.primary?;
         let member = &self.members[primary];
         let leaves = member.drain_expired || (member.spec.leaving && !self.settings.serve_leaving);
-        if member.suspected || member.removed || leaves || self.replace.is_deposing() {
+        if member.suspected || member.removed || leaves || self.failover.is_deposing() {
             return None;
         }
         let age = match self.writable_primary() {
@@ -278,7 +278,7 @@
             let Some(status) = member.status() else {
                 continue;
             };
-            let follows = status.log.term == self.replace.term && status.role == Role::Replica;
+            let follows = status.log.term == self.failover.term && status.role == Role::Replica;
             let leaves = member.spec.leaving || member.drain_expired;
             if member.removed || member.suspected || leaves || !follows {
                 continue;
@@ -315,19 +315,19 @@
     /// Newest moment at which a majority was in the present term.
     fn majority_confirmed_at(&self, now: Duration) -> Option<Duration> {
         let in_term = |(i, member): (usize, &Member)| {
-            let moment = member.in_term_at.filter(|_| self.replace.is_acceptor(i))?;
+            let moment = member.in_term_at.filter(|_| self.failover.is_acceptor(i))?;
             self.counts_for_lease(i, now).then_some(moment)
         };
         let members = self.members.iter().enumerate();
         let mut moments: Vec<Duration> = members.filter_map(in_term).collect();
         moments.sort_unstable_by(|a, b| b.cmp(a));
-        moments.get(self.replace.majority() - 1).copied()
+        moments.get(self.failover.majority() - 1).copied()
     }
 
     /// Whether this box holds the lease on the present term: a majority was in the term so
     /// recently that no other member can have been promoted.
     pub(super) fn holds_lease(&self, now: Duration) -> bool {
-        let lease = self.settings.replace.lease;
+        let lease = self.settings.failover.lease;
         let Some(usable) = lease.checked_sub(self.settings.lease_margin) else {
             return false;
         };
@@ -362,7 +362,7 @@
         queue.set_statement_time(run);
         match queue.admit(id, &request.partner, request.weight, now, due) {
             Admission::Run => {
-                let term = self.replace.term;
+                let term = self.failover.term;
                 out.push(Action::Assign {
                     id,
                     member,
@@ -452,7 +452,7 @@
 
     /// Whether a member still meets the demand of a request that was queued there.
     pub(super) fn still_fits(&self, request: &Request, member: usize, now: Duration) -> bool {
-        let leads = Some(member) == self.replace.primary;
+        let leads = Some(member) == self.failover.primary;
         let Some(demand) = read_demand(request) else {
             return leads;
         };
@@ -469,7 +469,7 @@
         out.push(Action::Assign {
             id: request.id,
             member,
-            term: self.replace.term,
+            term: self.failover.term,
             believed: request.believed,
         });
     }
@@ -518,7 +518,7 @@
         now: Duration,
         out: &mut Vec<Action>,
     ) {
-        let primary = Some(member) == self.replace.primary;
+        let primary = Some(member) == self.failover.primary;
         let known = &mut self.members[member];
         known.detector.record_answer(began, now);
         known.latency.record_answer(now.saturating_sub(began), now);
@@ -526,7 +526,7 @@
             self.record_in_term(member, began);
         }
         if let Some(position) = position
-            && position.term == self.replace.term
+            && position.term == self.failover.term
         {
             self.record_position(member, began, position);
         }
@@ -537,7 +537,7 @@
     fn record_position(&mut self, member: usize, began: Duration, position: Position) {
         let known = &mut self.members[member];
         known.applied = known.applied.max(position);
-        if Some(member) == self.replace.primary {
+        if Some(member) == self.failover.primary {
             self.history.record(began, position.index);
             return;
         }
--- a/src/decisions/group/membership.rs
+++ b/src/decisions/group/membership.rs
@@ -99,7 +99,7 @@
     /// Stops sending statements to leaving members whose drain time is over. The limit is
     /// promised to callers, so it applies even if no other member can take over.
     pub(super) fn expire_drains(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let primary = self.replace.primary;
+        let primary = self.failover.primary;
         let served = self.settings.serve_leaving;
         let mut any_expired = false;
         for (i, member) in self.members.iter_mut().enumerate() {
@@ -165,11 +165,11 @@
     }
 
     pub(super) fn update_members(&mut self) {
-        let fences_end = self.settings.replace.promotion_clears_fences;
+        let fences_end = self.settings.failover.promotion_clears_fences;
         let primary_only = self.plan.group.durability == Durability::Primary;
-        self.replace.set_prefer_staying(fences_end && primary_only);
+        self.failover.set_prefer_staying(fences_end && primary_only);
         let leaving = self.present().filter(|i| self.members[*i].spec.leaving);
-        self.replace
+        self.failover
             .set_members(self.present().collect(), leaving.collect());
     }
 
@@ -177,7 +177,7 @@
     /// and is removed only after its replacement.
     fn removal_due(&self, index: usize) -> Option<Duration> {
         let member = &self.members[index];
-        let kept = Some(index) == self.replace.primary && member.spec.leaving;
+        let kept = Some(index) == self.failover.primary && member.spec.leaving;
         let missing = member.missing_since.filter(|_| !member.removed && !kept);
         missing.map(|since| since + self.settings.missing_grace)
     }
@@ -187,7 +187,7 @@
     pub(super) fn next_removal(&self) -> Option<Duration> {
         let indexes = 0..self.members.len();
         let next = indexes.filter_map(|index| self.removal_due(index)).min();
-        next.filter(|_| !self.replace.is_deposing())
+        next.filter(|_| !self.failover.is_deposing())
     }
 
     /// Removes members that have been missing from the list for the grace period.
@@ -199,7 +199,7 @@
             if self.removal_due(index).is_none_or(|at| now < at) {
                 continue;
             }
-            let leads = Some(index) == self.replace.primary;
+            let leads = Some(index) == self.failover.primary;
             let member = &mut self.members[index];
             member.spec.leaving = true;
             if !leads {
--- a/src/decisions/group/message.rs
+++ b/src/decisions/group/message.rs
@@ -206,7 +206,7 @@
     OpinionReceived {
         from: Arc<str>,
         /// Whether that owner is in this box's failure domain.
-        near: bool,
+        same_domain: bool,
         suspects: bool,
     },
     /// A peer or the table names the primary of a term.
@@ -227,7 +227,7 @@
     /// Refuse a request.
     Refuse { id: u64, refusal: Refusal },
     /// Pass on the outcome of a confirmation.
-    Settle { id: u64, outcome: Outcome },
+    ReportOutcome { id: u64, outcome: Outcome },
     /// Request a member's status.
     Probe { member: usize },
     /// Claim the duty.
--- a/src/decisions/group/observation.rs
+++ b/src/decisions/group/observation.rs
@@ -32,7 +32,7 @@
 
     /// Whether a report's term is within reach and its positions are consistent.
     pub(super) fn is_plausible(&self, status: &Status) -> bool {
-        let reachable = status.promised <= self.replace.highest_promise() + MAX_TERMS_AHEAD;
+        let reachable = status.promised <= self.failover.highest_promise() + MAX_TERMS_AHEAD;
         let ordered = status.log.term <= status.promised && status.log.covers(status.applied);
         reachable && ordered
     }
@@ -63,26 +63,26 @@
         known.applied = status.applied;
         let leads = status.role == Role::Primary && !self.has_lost_log(member, &status);
         self.members[member].demoted = !leads;
-        if Some(member) == self.replace.primary {
-            self.replace.set_demoted(!leads);
+        if Some(member) == self.failover.primary {
+            self.failover.set_demoted(!leads);
         }
-        self.replace.observe(member, &status, began, now);
+        self.failover.observe(member, &status, began, now);
         self.update_promises();
         if status.role == Role::Primary && status.log.term == status.promised {
             self.adopt_primary(status.log.term, member, now, out);
         }
-        if status.promised <= self.replace.term {
+        if status.promised <= self.failover.term {
             self.record_unfenced(member, &status, began);
         }
-        if Some(member) == self.replace.primary && status.promised == self.replace.term {
+        if Some(member) == self.failover.primary && status.promised == self.failover.term {
             self.history.record(began, status.log.index);
         }
-        let counted = self.replace.is_acceptor(member) && self.counts_for_lease(member, now);
+        let counted = self.failover.is_acceptor(member) && self.counts_for_lease(member, now);
         if counted && !self.is_demoted_primary(member) {
-            let majority = self.replace.majority();
-            let fences_last = !self.settings.replace.promotion_clears_fences;
+            let majority = self.failover.majority();
+            let fences_last = !self.settings.failover.promotion_clears_fences;
             let ended = self
-                .confirm
+                .unconfirmed
                 .observe(member, &status, began, majority, fences_last);
             Self::settle(ended, out);
         }
@@ -96,8 +96,8 @@
 
     /// Records that a member reported no fence for a later term.
     fn record_unfenced(&mut self, member: usize, status: &Status, began: Duration) {
-        let fences_end = self.settings.replace.promotion_clears_fences;
-        if Some(member) == self.replace.primary {
+        let fences_end = self.settings.failover.promotion_clears_fences;
+        if Some(member) == self.failover.primary {
             if status.role == Role::Primary {
                 self.record_in_term(member, began);
             }
@@ -110,7 +110,7 @@
             let known = &mut self.members[member];
             known.unfenced_at = known.unfenced_at.max(Some(began));
         }
-        if status.log.term == self.replace.term {
+        if status.log.term == self.failover.term {
             self.record_received(member, status.log.index);
         }
     }
@@ -144,10 +144,10 @@
     /// Settles the requests that only need the lease, or a later proof that the term was not
     /// replaced.
     pub(super) fn settle_under_lease(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let term = self.replace.term;
+        let term = self.failover.term;
         let ended = match (self.holds_lease(now), self.term_confirmed_at(now)) {
-            (true, _) => self.confirm.confirm_leased(term),
-            (false, Some(moment)) => self.confirm.confirm_unreplaced(term, moment),
+            (true, _) => self.unconfirmed.confirm_leased(term),
+            (false, Some(moment)) => self.unconfirmed.confirm_unreplaced(term, moment),
             (false, None) => return,
         };
         Self::settle(ended, out);
@@ -155,14 +155,14 @@
 
     /// Whether the member is the primary and reports that it no longer leads.
     fn is_demoted_primary(&self, member: usize) -> bool {
-        Some(member) == self.replace.primary && self.members[member].demoted
+        Some(member) == self.failover.primary && self.members[member].demoted
     }
 
     fn update_promises(&mut self) {
         let present = self.members.iter().filter(|member| !member.removed);
         let promised = present.filter_map(|member| member.status().map(|s| s.promised));
         if let Some(highest) = promised.max() {
-            self.replace.set_highest_promise(highest);
+            self.failover.set_highest_promise(highest);
         }
     }
 
@@ -175,10 +175,10 @@
         now: Duration,
         out: &mut Vec<Action>,
     ) {
-        let Some(primary) = self.replace.primary else {
+        let Some(primary) = self.failover.primary else {
             return;
         };
-        let term = self.replace.term;
+        let term = self.failover.term;
         let strays = status.promised < term
             || status.role == Role::Primary
             || (status.log.term < term && status.stream != crate::borders::member::Stream::Live);
@@ -202,7 +202,8 @@
         let Some(confirmed) = self.term_confirmed_at(now) else {
             return;
         };
-        let Some((status, seen)) = self.replace.primary.and_then(|p| self.members[p].report) else {
+        let Some((status, seen)) = self.failover.primary.and_then(|p| self.members[p].report)
+        else {
             return;
         };
         let known_since = seen.min(confirmed);
@@ -284,8 +285,8 @@
         now: Duration,
         out: &mut Vec<Action>,
     ) {
-        let promoted = self.replace.is_promoting(member);
-        if !self.replace.adopt(term, member, now) {
+        let promoted = self.failover.is_promoting(member);
+        if !self.failover.adopt(term, member, now) {
             return;
         }
         if promoted {
@@ -299,7 +300,7 @@
     /// Starts a new term: ends the confirmations of the old one, forgets what was known of
     /// members in it and dispatches the waiting requests.
     pub(super) fn enter_term(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let ended = self.confirm.end_older_terms(self.replace.term);
+        let ended = self.unconfirmed.end_older_terms(self.failover.term);
         Self::settle(ended, out);
         self.history.clear();
         for member in &mut self.members {
--- a/src/decisions/group/restart.rs
+++ b/src/decisions/group/restart.rs
@@ -36,14 +36,14 @@
             restart_seen: now,
         });
         member.probe_wanted = true;
-        if self.replace.primary == Some(index) {
+        if self.failover.primary == Some(index) {
             // Suspected until a report shows that it still leads.
             member.connection_lost = Some(now);
             member.suspected = true;
         }
         self.members.push(member);
         let new = self.members.len() - 1;
-        self.replace.move_member(index, new);
+        self.failover.move_member(index, new);
         self.pending_restarts.push((index, new));
         new
     }
@@ -55,10 +55,10 @@
         }
         for (earlier, member) in std::mem::take(&mut self.pending_restarts) {
             out.push(Action::Log(Note::Restarted { member }));
-            self.confirm.forget_member(earlier);
+            self.unconfirmed.forget_member(earlier);
             // The restarted member may have lost entries, which leaves fewer holders.
             self.majority_position = Position::ZERO;
-            let steps = self.replace.handle_restart(earlier, member, now);
+            let steps = self.failover.handle_restart(earlier, member, now);
             self.apply_steps(steps, now, out);
         }
         self.requeue(now, out);
@@ -80,7 +80,7 @@
         let Some(earlier) = self.members[member].earlier_start else {
             return true;
         };
-        if now >= earlier.restart_seen + self.settings.replace.settle_time {
+        if now >= earlier.restart_seen + self.settings.failover.settle_time {
             return true;
         }
         let seen = |other: usize| {
--- a/src/decisions/group/settings.rs
+++ b/src/decisions/group/settings.rs
@@ -8,7 +8,7 @@
 /// Settings of a group's decisions.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    pub replace: ReplaceSettings,
+    pub failover: ReplaceSettings,
     pub detect: DetectSettings,
     /// Factor on the probe period for members other than the primary, and again for
     /// owners other than the first.
@@ -62,7 +62,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            replace: ReplaceSettings::default(),
+            failover: ReplaceSettings::default(),
             detect: DetectSettings {
                 period: Duration::from_millis(1_000),
                 interval: Duration::from_millis(200),
--- a/src/decisions/group/timers.rs
+++ b/src/decisions/group/timers.rs
@@ -16,15 +16,15 @@
         self.remove_missing(now, out);
         self.update_suspicions(now, out);
         let handover = self.is_handover_due(now, out);
-        let doubt = match self.replace.primary {
+        let doubt = match self.failover.primary {
             Some(primary) if handover && !self.members[primary].suspected => Trigger::Drained,
             Some(primary) if !self.members[primary].suspected => Trigger::None,
             None if now < self.started_at + self.settings.detect.period => Trigger::None,
             _ => Trigger::Suspected,
         };
-        let steps = self.replace.tick(doubt, now);
+        let steps = self.failover.tick(doubt, now);
         self.apply_steps(steps, now, out);
-        Self::settle(self.confirm.expire(now), out);
+        Self::settle(self.unconfirmed.expire(now), out);
         self.request_confirmation_probes(now);
         self.dispatch_for_replica(now, out);
         self.dispatch_for_primary(now, out);
@@ -35,7 +35,7 @@
 
     /// Whether a leaving primary may be replaced by now.
     pub(super) fn is_handover_due(&mut self, now: Duration, out: &mut Vec<Action>) -> bool {
-        let leaving = self.replace.primary;
+        let leaving = self.failover.primary;
         let leaving = leaving.filter(|p| self.members[*p].spec.leaving);
         let departure = leaving.and_then(|p| self.members[p].departure);
         let successors = self.successors();
@@ -55,16 +55,16 @@
         // member is enough.
         let needed = match self.settings.serve_leaving {
             true => 1,
-            false => self.replace.majority(),
+            false => self.failover.majority(),
         };
         if successors < needed {
             // Until its drain time is over, a leaving primary is better than none.
             return false;
         }
-        let stagger = self.settings.replace.stagger * self.replace.rank();
+        let stagger = self.settings.failover.stagger * self.failover.rank();
         let served = self.settings.serve_leaving;
         let unused =
-            served || self.members[primary].queue.running() == 0 && self.confirm.is_empty();
+            served || self.members[primary].queue.running() == 0 && self.unconfirmed.is_empty();
         let earliest = departure.time_at_age(self.settings.drain_grace) + stagger;
         let limit = self.members[primary].drain_time(&self.settings);
         let latest = departure.time_at_age(limit) + stagger;
@@ -72,7 +72,7 @@
         let is_due = (unused && now >= earliest) || now >= latest;
         self.next_handover_check = match is_due {
             true => self
-                .replace
+                .failover
                 .is_steady()
                 .then_some(now + HANDOVER_CHECK_INTERVAL),
             false => next,
@@ -82,7 +82,7 @@
 
     pub(super) fn update_suspicions(&mut self, now: Duration, out: &mut Vec<Action>) {
         let mut any_new = false;
-        let primary = self.replace.primary;
+        let primary = self.failover.primary;
         for (i, member) in self.members.iter_mut().enumerate() {
             let silent = member.connection_lost.is_some() || member.detector.suspects(now);
             let suspected = silent || (member.demoted && Some(i) == primary);
@@ -215,20 +215,20 @@
 
     /// Requests probes of the members whose reports may settle a waiting request.
     pub(super) fn request_confirmation_probes(&mut self, now: Duration) {
-        if self.confirm.is_empty() {
+        if self.unconfirmed.is_empty() {
             return;
         }
-        if !self.settings.replace.lease.is_zero() {
+        if !self.settings.failover.lease.is_zero() {
             return self.request_lease_probes(now);
         }
         for (i, member) in self.members.iter_mut().enumerate() {
-            member.probe_wanted |= self.confirm.needs_probe(i);
+            member.probe_wanted |= self.unconfirmed.needs_probe(i);
         }
     }
 
     /// Requests probes of no more members than the lease needs, to limit the control traffic.
     fn request_lease_probes(&mut self, now: Duration) {
-        let lease = self.settings.replace.lease;
+        let lease = self.settings.failover.lease;
         let is_late = |seen: Option<Duration>| seen.is_none_or(|seen| now >= seen + lease / 2);
         let newest = self.history.newest_index();
         // A member probed just before can show more only if the primary has written since.
@@ -236,16 +236,16 @@
             let shown = member.status().map(|status| status.log.index);
             is_late(member.unfenced_at) || shown < newest
         };
-        let acceptors = self.present().filter(|i| self.replace.is_acceptor(*i));
+        let acceptors = self.present().filter(|i| self.failover.is_acceptor(*i));
         let (late, recent): (Vec<usize>, Vec<usize>) =
             acceptors.partition(|i| is_late(self.members[*i].in_term_at));
-        let mut needed = self.replace.majority().saturating_sub(recent.len());
+        let mut needed = self.failover.majority().saturating_sub(recent.len());
         let late = late.into_iter().filter(|i| helps(&self.members[*i]));
         let mut late: Vec<usize> = late.collect();
         late.sort_by_key(|i| {
             let member = &self.members[*i];
             let far = member.spec.domain != self.domain;
-            (member.suspected, Some(*i) != self.replace.primary, far)
+            (member.suspected, Some(*i) != self.failover.primary, far)
         });
         for i in late {
             let member = &mut self.members[i];
--- a/src/node/driver/actions.rs
+++ b/src/node/driver/actions.rs
@@ -42,7 +42,7 @@
                     let _ = reply.send(Err(Denial::NotRun(refusal)));
                 }
             }
-            Action::Settle {
+            Action::ReportOutcome {
                 id: request,
                 outcome,
             } => {
@@ -73,7 +73,7 @@
                 });
             }
             Action::Fence { member, term } => {
-                let fence = owned.group.bid(term);
+                let fence = owned.group.fence_request(term);
                 let border = owned.members[member].clone();
                 let (context, group) = (self.context.clone(), id.clone());
                 let name = owned.group.plan.members[member].name.clone();
@@ -200,7 +200,7 @@
                 if let Some(suspects) = asked.await {
                     let event = Event::OpinionReceived {
                         from,
-                        near,
+                        same_domain: near,
                         suspects,
                     };
                     context.send_event(&group, incarnation, event);
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -24,7 +24,7 @@
 /// statements may wait in a long queue.
 pub fn group_settings() -> Settings {
     Settings {
-        replace: Replace {
+        failover: Replace {
             // Long enough for the next box in rank to see the claim and the fences.
             stagger: Duration::from_millis(250),
             // Each question also costs the peers an answer.
--- a/tests/unit/departing.rs
+++ b/tests/unit/departing.rs
@@ -409,7 +409,7 @@
         for other in (0..BOXES).filter(|other| *other != by) {
             let event = Event::OpinionReceived {
                 from: format!("b{other}").into(),
-                near: false,
+                same_domain: false,
                 suspects: self.boxes[other].suspects_primary(term),
             };
             self.schedule(STEP, Due::Deliver(by, event));
--- a/tests/unit/fake.rs
+++ b/tests/unit/fake.rs
@@ -552,7 +552,7 @@
                 self.statements.remove(&id);
                 self.counts.refused += 1;
             }
-            Action::Settle { id, outcome } => self.settle(id, outcome),
+            Action::ReportOutcome { id, outcome } => self.settle(id, outcome),
             Action::Probe { member } => self.call(owner, member, Call::Status),
             Action::Fence { member, term } => self.call(owner, member, Call::Fence(term)),
             Action::Promote { member, term } => self.call(owner, member, Call::Promote(term)),
@@ -580,7 +580,7 @@
             }
             let event = Event::OpinionReceived {
                 from: format!("b{other}").into(),
-                near: false,
+                same_domain: false,
                 suspects: self.owners[other].suspects_primary(term),
             };
             let at = self.now + self.delay() + self.delay();
--- a/tests/unit/group.rs
+++ b/tests/unit/group.rs
@@ -123,9 +123,9 @@
 #[gtest]
 fn an_owner_that_never_saw_the_primary_replaces_it() {
     let mut group = new_group_with(|settings| {
-        settings.replace.promotion_clears_fences = true;
-        settings.replace.lease = ms(800);
-        settings.replace.corroboration = Corroboration::Majority;
+        settings.failover.promotion_clears_fences = true;
+        settings.failover.lease = ms(800);
+        settings.failover.corroboration = Corroboration::Majority;
     });
     // Another box fenced the replicas of term 2 and stopped before the promotion.
     let replica = |promised: u64| Status {
@@ -146,8 +146,8 @@
         for action in actions {
             match action {
                 Action::Fence { member, term } if member > 0 => {
-                    expect_that!(group.bid(term).replaced, eq(2));
-                    expect_that!(group.bid(term).known_promise, ge(5));
+                    expect_that!(group.fence_request(term).replaced, eq(2));
+                    expect_that!(group.fence_request(term).known_promise, ge(5));
                     fence = Some(term);
                     let answer = Ok(replica(term));
                     let event = Event::Fenced {
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -176,7 +176,7 @@
 
     pub fn outcome(&self, wanted: u64) -> Option<Outcome> {
         self.actions.iter().find_map(|action| match action {
-            Action::Settle { id, outcome } if *id == wanted => Some(*outcome),
+            Action::ReportOutcome { id, outcome } if *id == wanted => Some(*outcome),
             _ => None,
         })
     }
@@ -191,7 +191,7 @@
         for name in ["b1", "b2"] {
             self.handle(Event::OpinionReceived {
                 from: name.into(),
-                near: false,
+                same_domain: false,
                 suspects: true,
             });
         }
@@ -355,7 +355,7 @@
         eq(1)
     );
     expect_that!(fixture.count_actions(promotes), eq(0));
-    let lease = settings().replace.lease;
+    let lease = settings().failover.lease;
     fixture.advance(lease - ms(20));
     let term = fixture.ballot_term();
     fixture.report(1, status(Role::Replica, 1, term, 12));
@@ -385,7 +385,7 @@
     fixture.start_ballot();
     fixture.grant_fence(1, 12);
     fixture.grant_fence(2, 10);
-    let lease = settings().replace.lease;
+    let lease = settings().failover.lease;
     fixture.advance(lease - ms(20));
     let term = fixture.ballot_term();
     fixture.report(1, status(Role::Replica, 1, term, 12));
@@ -412,7 +412,7 @@
     let probes =
         |fixture: &Fixture| fixture.count_actions(|a| matches!(a, Action::Probe { member: 1 }));
     let before = probes(&fixture);
-    fixture.advance(settings().replace.lease + ms(20));
+    fixture.advance(settings().failover.lease + ms(20));
     expect_that!(fixture.count_actions(promotes), eq(0));
     expect_that!(probes(&fixture), gt(before));
 }
@@ -445,7 +445,7 @@
     fixture.handle(Event::ConnectionLost { member: 0 });
     fixture.handle(Event::OpinionReceived {
         from: "b1".into(),
-        near: false,
+        same_domain: false,
         suspects: true,
     });
     fixture.report(1, status(Role::Replica, 1, 1, 10));
@@ -468,7 +468,7 @@
     for (name, suspects) in [("b1", false), ("b2", false), ("b3", true)] {
         fixture.handle(Event::OpinionReceived {
             from: name.into(),
-            near: false,
+            same_domain: false,
             suspects,
         });
     }
@@ -605,7 +605,7 @@
     for name in ["b1", "b2"] {
         fixture.handle(Event::OpinionReceived {
             from: name.into(),
-            near: false,
+            same_domain: false,
             suspects: true,
         });
     }
@@ -844,7 +844,7 @@
         fixture.ballot_term(),
         fixture.count_actions(|a| matches!(a, Action::Fence { .. })),
     );
-    expect_that!(fixture.group.bid(term).known_promise, eq(1));
+    expect_that!(fixture.group.fence_request(term).known_promise, eq(1));
     // Two members have granted another box's fence meanwhile.
     for member in [1, 2] {
         let answer = Err(MemberError::Fenced { promised: term + 1 });
@@ -873,7 +873,10 @@
         gt(fences)
     );
     expect_that!(
-        fixture.group.bid(fixture.ballot_term()).known_promise,
+        fixture
+            .group
+            .fence_request(fixture.ballot_term())
+            .known_promise,
         eq(term + 1)
     );
 }
--- a/tests/unit/leaving.rs
+++ b/tests/unit/leaving.rs
@@ -445,7 +445,7 @@
     };
     expect_that!(fenced(&bench, 0), eq(1));
     expect_that!(fenced(&bench, 1) + fenced(&bench, 2), eq(0));
-    bench.advance(group_settings().replace.catch_up);
+    bench.advance(group_settings().failover.catch_up);
     expect_that!(fenced(&bench, 1) + fenced(&bench, 2), eq(2));
 }
 
--- a/tests/unit/orders.rs
+++ b/tests/unit/orders.rs
@@ -224,7 +224,7 @@
                 began,
             }),
             Action::Fence { member, term } => {
-                let bid = self.boxes[owner].bid(term);
+                let bid = self.boxes[owner].fence_request(term);
                 self.send(Step::Fence { owner, member, bid });
             }
             Action::ReleaseFence { member } => self.send(Step::ReleaseFence { member }),
@@ -259,7 +259,7 @@
                 let term = self.boxes[owner].term();
                 let event = Event::OpinionReceived {
                     from: "other".into(),
-                    near: false,
+                    same_domain: false,
                     suspects: self.boxes[1 - owner].suspects_primary(term),
                 };
                 self.send(Step::Deliver(owner, event));
--- a/tests/unit/restarted.rs
+++ b/tests/unit/restarted.rs
@@ -178,7 +178,7 @@
     for name in ["b1", "b2"] {
         bench.handle(Event::OpinionReceived {
             from: name.into(),
-            near: false,
+            same_domain: false,
             suspects: true,
         });
     }
