--- a/src/decisions/budget.rs
+++ b/src/decisions/budget.rs
@@ -1,6 +1,6 @@
 //! Retry budget: limits retries to a share of the successes.
 
-/// Tokens earned by successes and spent by retries.
+/// Tokens that successes add and retries use up.
 #[derive(Clone, Debug)]
 pub struct Budget {
     tokens: u64,
@@ -11,13 +11,13 @@
 const TOKENS_PER_RETRY: u64 = 1_000;
 
 impl Budget {
-    /// Creates a full budget of `most` retries to which each success adds `percent` hundredths
+    /// Creates a full budget of `max_retries` retries to which each success adds `percent` hundredths
     /// of a retry.
-    pub fn new(percent: u64, most: u64) -> Self {
+    pub fn new(percent: u64, max_retries: u64) -> Self {
         Self {
-            tokens: most * TOKENS_PER_RETRY,
+            tokens: max_retries * TOKENS_PER_RETRY,
             tokens_per_success: percent * TOKENS_PER_RETRY / 100,
-            max_tokens: most * TOKENS_PER_RETRY,
+            max_tokens: max_retries * TOKENS_PER_RETRY,
         }
     }
 
--- a/src/decisions/departure.rs
+++ b/src/decisions/departure.rs
@@ -31,10 +31,10 @@
         Some(self.age? + now.saturating_sub(self.learned))
     }
 
-    /// Limits the age to `most`. A missing entry may only have lapsed, and gets some time to
-    /// reappear in any case.
-    pub fn cap_age(self, most: Duration) -> Self {
-        let age = self.age.map_or(most, |age| age.min(most));
+    /// Limits the age to `max_age`. The entry of a member that still serves may
+    /// have expired, so the member gets some time to be listed again in any case.
+    pub fn cap_age(self, max_age: Duration) -> Self {
+        let age = self.age.map_or(max_age, |age| age.min(max_age));
         Self::with_age(self.learned, Some(age))
     }
 
--- a/src/decisions/duty.rs
+++ b/src/decisions/duty.rs
@@ -73,8 +73,8 @@
             return true;
         };
         let claimed = self.duty.revision;
-        let own = known.holder == self.duty.holder && known.revision.era() <= claimed.era();
-        own || known.revision <= claimed
+        let same_claim = known.holder == self.duty.holder && known.revision.era() <= claimed.era();
+        same_claim || known.revision <= claimed
     }
 }
 
--- a/src/decisions/failover.rs
+++ b/src/decisions/failover.rs
@@ -148,7 +148,7 @@
 enum Phase {
     Steady,
     /// The primary is suspected, or a promised term was abandoned; the suspicion isn't yet
-    /// corroborated or it isn't this box's turn.
+    /// corroborated, or the owners of lower rank may still act first.
     Suspecting {
         since: Duration,
         last_asked: Duration,
--- a/src/decisions/failover/restarting.rs
+++ b/src/decisions/failover/restarting.rs
@@ -11,9 +11,9 @@
         if self.primary == Some(earlier) {
             self.primary = Some(member);
         }
-        for places in [&mut self.members, &mut self.deposed, &mut self.leaving] {
-            if places.remove(&earlier) {
-                places.insert(member);
+        for indexes in [&mut self.members, &mut self.deposed, &mut self.leaving] {
+            if indexes.remove(&earlier) {
+                indexes.insert(member);
             }
         }
         if let Some(orphaned) = &mut self.orphaned {
@@ -56,7 +56,7 @@
             } => {
                 granted.remove(&earlier);
                 kept_at.remove(&earlier);
-                let counted = granted.keys().filter(|place| acceptors.contains(place));
+                let counted = granted.keys().filter(|index| acceptors.contains(index));
                 match counted.count() < majority {
                     true => {
                         let term = *term;
--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -1,7 +1,7 @@
 //! Decisions about one group at one of its owners.
 //!
 //! [`Group::handle`] takes an event and the time, and returns actions. The state consists of
-//! the known state of each member, the waiting requests and the replacement in progress.
+//! the known state of each member, the waiting requests and the failover in progress.
 
 mod confirmation;
 mod dispatch;
@@ -64,7 +64,8 @@
     probe_wanted: bool,
     queue: Queue,
     latency: Latency,
-    /// Whether the newest report shows that the member does not lead, or may not lead on.
+    /// Whether the newest report shows that the member does not lead, or lost log entries and
+    /// must not lead.
     demoted: bool,
     /// Newest moment at which the member is known to have been in the present term: a primary
     /// led, or a replica received an entry that the primary wrote later.
@@ -80,11 +81,11 @@
     connection_limit: usize,
     /// When the connection limit is raised by one.
     next_limit_raise: Duration,
-    /// Since when the member is missing from the list.
+    /// Since when the member is missing from the list of members.
     missing_since: Option<Duration>,
     /// Set if the member announced that it leaves, or is missing from the list.
     departure: Option<Departure>,
-    /// The drain limit in force when this box heard that the member leaves.
+    /// The drain limit in force when this box learned that the member leaves.
     drain_limit: Option<Duration>,
     /// Whether the drain time is over.
     drain_expired: bool,
@@ -149,7 +150,7 @@
     }
 
     /// Time for which the member is served once it leaves: the shorter of the present limit
-    /// and the limit when this box heard of the departure, since other boxes may use either.
+    /// and the limit when this box learned of the departure, since other boxes may use either.
     fn drain_time(&self, settings: &Settings) -> Duration {
         let present = settings.drain_limit;
         self.drain_limit.map_or(present, |limit| limit.min(present))
@@ -180,6 +181,7 @@
     domain: Arc<str>,
     members: Vec<Member>,
     failover: Failover,
+    /// Answered writes and reads that wait for confirmation.
     unconfirmed: Waiters,
     history: History,
     /// Newest position of the present term that a majority is known to hold.
@@ -191,7 +193,7 @@
     draining_primary: Option<usize>,
     /// When the hand-over of the leaving primary is checked again.
     next_handover_check: Option<Duration>,
-    /// When the lease was last given up. Only later observations count for it.
+    /// When the lease was last given up. Only later observations count for a new one.
     lease_revoked_at: Duration,
     /// Whether the boxes that may promote know of this box, so that it may use the lease.
     listed: bool,
@@ -199,7 +201,7 @@
     owners: u32,
     /// Factor on the probe periods of a box with many groups.
     load_factor: u32,
-    /// Earlier and new index of restarted members that are still to be handled.
+    /// Earlier and new index of each restarted member whose restart is not handled yet.
     pending_restarts: Vec<(usize, usize)>,
 }
 
@@ -335,7 +337,7 @@
         self.failover.ballot()
     }
 
-    /// The bid that this owner's ballot of `term` sends to a member.
+    /// The fence that this owner's ballot of `term` asks a member to accept.
     pub fn fence_request(&self, term: u64) -> Fence {
         Fence {
             term,
@@ -544,8 +546,8 @@
             .filter(|m| !m.drain_expired && !m.removed);
         let drained =
             draining.filter_map(|m| Some(m.departure?.time_at_age(m.drain_time(&self.settings))));
-        let replace = self.failover.wake().into_iter();
-        let replace = replace.chain(self.next_handover_check).chain(drained);
+        let failover = self.failover.wake().into_iter();
+        let failover = failover.chain(self.next_handover_check).chain(drained);
         let all = probes
             .chain(for_primary)
             .chain(for_position)
@@ -560,7 +562,7 @@
             .map(|m| m.next_limit_raise);
         let all = all
             .chain(queued)
-            .chain(replace)
+            .chain(failover)
             .chain(self.next_removal())
             .chain(lease)
             .chain(limited);
--- a/src/decisions/group/confirmation.rs
+++ b/src/decisions/group/confirmation.rs
@@ -27,7 +27,7 @@
         } else {
             None
         };
-        if Self::settle_if_known(id, outcome, out) {
+        if Self::report_if_known(id, outcome, out) {
             return;
         }
         let need = Need::Held(position);
@@ -52,7 +52,7 @@
             (true, true) => Some(Outcome::Confirmed),
             (true, false) => None,
         };
-        if Self::settle_if_known(id, outcome, out) {
+        if Self::report_if_known(id, outcome, out) {
             return;
         }
         // Before its first write in a term, a primary may report the previous term.
@@ -95,7 +95,7 @@
         } else {
             None
         };
-        if Self::settle_if_known(id, outcome, out) {
+        if Self::report_if_known(id, outcome, out) {
             return;
         }
         self.unconfirmed.add(id, need, None, since, deadline);
@@ -116,15 +116,15 @@
         }
     }
 
-    /// Settles a request whose outcome is known already. Returns whether it was.
-    fn settle_if_known(id: u64, outcome: Option<Outcome>, out: &mut Vec<Action>) -> bool {
+    /// Reports the outcome of a request if it is known already. Returns whether it is.
+    fn report_if_known(id: u64, outcome: Option<Outcome>, out: &mut Vec<Action>) -> bool {
         let ended = outcome.map(|outcome| (id, outcome));
-        Self::settle(ended.into_iter().collect(), out);
+        Self::report_outcomes(ended.into_iter().collect(), out);
         ended.is_some()
     }
 
-    pub(super) fn settle(ended: Vec<(u64, Outcome)>, out: &mut Vec<Action>) {
-        let settle = |(id, outcome)| Action::ReportOutcome { id, outcome };
-        out.extend(ended.into_iter().map(settle));
+    pub(super) fn report_outcomes(ended: Vec<(u64, Outcome)>, out: &mut Vec<Action>) {
+        let report = |(id, outcome)| Action::ReportOutcome { id, outcome };
+        out.extend(ended.into_iter().map(report));
     }
 }
--- a/src/decisions/group/dispatch.rs
+++ b/src/decisions/group/dispatch.rs
@@ -244,8 +244,8 @@
 
     /// Returns the primary as a candidate for reads, if it may relieve the replicas. A primary
     /// that may have been replaced unseen is as old as the newest moment at which its term is
-    /// known to have lasted. So in a cut failure domain it serves reads for as long as a
-    /// replica would.
+    /// known to have lasted. So in a partitioned failure domain it serves reads for as long
+    /// as a replica would.
     fn primary_as_candidate(&self, now: Duration) -> Option<Candidate> {
         let cost = self.settings.primary_cost?;
         let primary = self.failover.primary?;
@@ -530,7 +530,7 @@
         {
             self.record_position(member, began, position);
         }
-        self.settle_under_lease(now, out);
+        self.confirm_by_lease(now, out);
     }
 
     /// Records that a member's log reached a position of the present term.
--- a/src/decisions/group/membership.rs
+++ b/src/decisions/group/membership.rs
@@ -165,9 +165,10 @@
     }
 
     pub(super) fn update_members(&mut self) {
-        let fences_end = self.settings.failover.promotion_clears_fences;
+        let promotion_clears_fences = self.settings.failover.promotion_clears_fences;
         let primary_only = self.plan.group.durability == Durability::Primary;
-        self.failover.set_prefer_staying(fences_end && primary_only);
+        self.failover
+            .set_prefer_staying(promotion_clears_fences && primary_only);
         let leaving = self.present().filter(|i| self.members[*i].spec.leaving);
         self.failover
             .set_members(self.present().collect(), leaving.collect());
--- a/src/decisions/group/observation.rs
+++ b/src/decisions/group/observation.rs
@@ -80,15 +80,15 @@
         let counted = self.failover.is_acceptor(member) && self.counts_for_lease(member, now);
         if counted && !self.is_demoted_primary(member) {
             let majority = self.failover.majority();
-            let fences_last = !self.settings.failover.promotion_clears_fences;
-            let ended = self
-                .unconfirmed
-                .observe(member, &status, began, majority, fences_last);
-            Self::settle(ended, out);
+            let fences_are_permanent = !self.settings.failover.promotion_clears_fences;
+            let ended =
+                self.unconfirmed
+                    .observe(member, &status, began, majority, fences_are_permanent);
+            Self::report_outcomes(ended, out);
         }
-        self.settle_under_lease(now, out);
+        self.confirm_by_lease(now, out);
         self.update_majority_position();
-        self.redirect_stray(member, &status, now, out);
+        self.order_to_follow(member, &status, now, out);
         self.dispatch_for_position(now, out);
         self.dispatch_for_replica(now, out);
         self.request_confirmation_probes(now);
@@ -96,14 +96,14 @@
 
     /// Records that a member reported no fence for a later term.
     fn record_unfenced(&mut self, member: usize, status: &Status, began: Duration) {
-        let fences_end = self.settings.failover.promotion_clears_fences;
+        let promotion_clears_fences = self.settings.failover.promotion_clears_fences;
         if Some(member) == self.failover.primary {
             if status.role == Role::Primary {
                 self.record_in_term(member, began);
             }
             return;
         }
-        if !fences_end {
+        if !promotion_clears_fences {
             return self.record_in_term(member, began);
         }
         if began > self.lease_revoked_at {
@@ -141,16 +141,16 @@
         }
     }
 
-    /// Settles the requests that only need the lease, or a later proof that the term was not
-    /// replaced.
-    pub(super) fn settle_under_lease(&mut self, now: Duration, out: &mut Vec<Action>) {
+    /// Confirms the requests that only need the lease, or a proof that the term was not replaced
+    /// after they were answered.
+    pub(super) fn confirm_by_lease(&mut self, now: Duration, out: &mut Vec<Action>) {
         let term = self.failover.term;
         let ended = match (self.holds_lease(now), self.term_confirmed_at(now)) {
             (true, _) => self.unconfirmed.confirm_leased(term),
             (false, Some(moment)) => self.unconfirmed.confirm_unreplaced(term, moment),
             (false, None) => return,
         };
-        Self::settle(ended, out);
+        Self::report_outcomes(ended, out);
     }
 
     /// Whether the member is the primary and reports that it no longer leads.
@@ -168,7 +168,7 @@
 
     /// Orders a member that is behind the present term, or leads without being the primary,
     /// to follow the primary.
-    pub(super) fn redirect_stray(
+    pub(super) fn order_to_follow(
         &mut self,
         member: usize,
         status: &Status,
@@ -179,12 +179,12 @@
             return;
         };
         let term = self.failover.term;
-        let strays = status.promised < term
+        let needs_order = status.promised < term
             || status.role == Role::Primary
             || (status.log.term < term && status.stream != crate::borders::member::Stream::Live);
         let last = self.members[member].last_follow;
         let due = last.is_none_or(|last| now >= last + self.settings.follow_gap);
-        if member != primary && status.promised <= term && strays && due {
+        if member != primary && status.promised <= term && needs_order && due {
             self.members[member].last_follow = Some(now);
             out.push(Action::Follow {
                 member,
@@ -298,10 +298,10 @@
     }
 
     /// Starts a new term: ends the confirmations of the old one, forgets what was known of
-    /// members in it and dispatches the waiting requests.
+    /// the members in that term and dispatches the waiting requests.
     pub(super) fn enter_term(&mut self, now: Duration, out: &mut Vec<Action>) {
         let ended = self.unconfirmed.end_older_terms(self.failover.term);
-        Self::settle(ended, out);
+        Self::report_outcomes(ended, out);
         self.history.clear();
         for member in &mut self.members {
             member.in_term_at = None;
--- a/src/decisions/group/restart.rs
+++ b/src/decisions/group/restart.rs
@@ -48,7 +48,7 @@
         new
     }
 
-    /// Drops the confirmations and replacement steps that rely on members' earlier starts.
+    /// Drops the confirmations and failover steps that rely on members' earlier starts.
     pub(super) fn apply_restarts(&mut self, now: Duration, out: &mut Vec<Action>) {
         if self.pending_restarts.is_empty() {
             return;
--- a/src/decisions/group/settings.rs
+++ b/src/decisions/group/settings.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use crate::decisions::detect::baseline::Settings as DetectSettings;
-use crate::decisions::failover::Settings as ReplaceSettings;
+use crate::decisions::failover::Settings as FailoverSettings;
 
 /// Settings of a group's decisions.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    pub failover: ReplaceSettings,
+    pub failover: FailoverSettings,
     pub detect: DetectSettings,
     /// Factor on the probe period for members other than the primary, and again for
     /// owners other than the first.
@@ -35,7 +35,7 @@
     /// Whether a leaving primary serves until another member is about to be promoted.
     pub serve_leaving: bool,
     /// Time for which a member that is missing from the list stays in the group: lists
-    /// lag, and entries of live members may lapse while the store is away.
+    /// lag, and entries of live members may expire while the store is unreachable.
     pub missing_grace: Duration,
     /// Added to the primary's expected wait when it competes with replicas for a read.
     /// `None`: the primary serves reads only if no replica is suitable.
@@ -62,7 +62,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            failover: ReplaceSettings::default(),
+            failover: FailoverSettings::default(),
             detect: DetectSettings {
                 period: Duration::from_millis(1_000),
                 interval: Duration::from_millis(200),
--- a/src/decisions/group/timers.rs
+++ b/src/decisions/group/timers.rs
@@ -1,10 +1,10 @@
-//! Periodic work: suspicions, replacement, expired requests and probes.
+//! Periodic work: suspicions, failover, expired requests and probes.
 
 use std::time::Duration;
 
 use super::*;
 
-/// A probe without an answer after this time no longer counts: another member is probed too.
+/// Time after which an unanswered probe counts as slow, and another member is probed too.
 const SLOW_PROBE_AFTER: Duration = Duration::from_millis(120);
 
 /// Time between two checks of a due hand-over that another box may carry out. Keeps an idle
@@ -16,15 +16,15 @@
         self.remove_missing(now, out);
         self.update_suspicions(now, out);
         let handover = self.is_handover_due(now, out);
-        let doubt = match self.failover.primary {
+        let trigger = match self.failover.primary {
             Some(primary) if handover && !self.members[primary].suspected => Trigger::Drained,
             Some(primary) if !self.members[primary].suspected => Trigger::None,
             None if now < self.started_at + self.settings.detect.period => Trigger::None,
             _ => Trigger::Suspected,
         };
-        let steps = self.failover.tick(doubt, now);
+        let steps = self.failover.tick(trigger, now);
         self.apply_steps(steps, now, out);
-        Self::settle(self.unconfirmed.expire(now), out);
+        Self::report_outcomes(self.unconfirmed.expire(now), out);
         self.request_confirmation_probes(now);
         self.dispatch_for_replica(now, out);
         self.dispatch_for_primary(now, out);
@@ -58,7 +58,7 @@
             false => self.failover.majority(),
         };
         if successors < needed {
-            // Until its drain time is over, a leaving primary is better than none.
+            // A leaving primary still serves until its drain time is over.
             return false;
         }
         let stagger = self.settings.failover.stagger * self.failover.rank();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Translates the replacement's steps into actions.
+    /// Translates the failover's steps into actions.
     pub(super) fn apply_steps(&mut self, steps: Vec<Step>, now: Duration, out: &mut Vec<Action>) {
         let mut logged = false;
         for step in steps {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Requests probes of the members whose reports may settle a waiting request.
+    /// Requests probes of the members whose reports may confirm a waiting request.
     pub(super) fn request_confirmation_probes(&mut self, now: Duration) {
         if self.unconfirmed.is_empty() {
             return;
--- a/src/decisions/partition.rs
+++ b/src/decisions/partition.rs
@@ -175,7 +175,7 @@
     }
 
     /// Updates the verdict from the replies of owners: whether each reaches a majority of its
-    /// group, none if it can't tell. Undetermined replies are ignored: they come from owners
+    /// group, or `None` if the owner can't tell. Undetermined replies are ignored: they come from owners
     /// that have just started, and would end the state of a domain that is still partitioned.
     pub fn record_replies(&mut self, replies: &[Option<bool>]) {
         let known = replies.iter().flatten();
--- a/tests/unit/configuration.rs
+++ b/tests/unit/configuration.rs
@@ -42,7 +42,7 @@
     }
 }
 
-fn take(store: &mut Store, scan: &Scan) -> bool {
+fn apply_scan(store: &mut Store, scan: &Scan) -> bool {
     store.apply(
         Revision::NONE,
         scan,
@@ -73,9 +73,9 @@
         row(MEMBER, 2, Some(1)),
         row(DUTY, 3, Some(1)),
     ];
-    take(&mut store, &scan(4, &rows));
+    apply_scan(&mut store, &scan(4, &rows));
     let read = whole(Section::Declarations, 6, &[row(KEPT, 6, Some(1))]);
-    expect_that!(take(&mut store, &read), eq(true));
+    expect_that!(apply_scan(&mut store, &read), eq(true));
     let left: Vec<Arc<str>> = vec![DUTY.into(), KEPT.into(), MEMBER.into()];
     expect_that!(present(&store), eq(&left));
 }
@@ -83,22 +83,22 @@
 #[gtest]
 fn a_peer_restores_no_row_that_was_deleted_before_the_section_was_read() {
     let mut store = Store::default();
-    take(
+    apply_scan(
         &mut store,
         &whole(Section::Declarations, 6, &[row(KEPT, 6, Some(1))]),
     );
     let old = [row(DELETED, 4, Some(1)), row(KEPT, 4, Some(0))];
-    expect_that!(take(&mut store, &scan(4, &old)), eq(false));
+    expect_that!(apply_scan(&mut store, &scan(4, &old)), eq(false));
     // Nor does a peer that had read the complete section at an older revision.
     expect_that!(
-        take(&mut store, &whole(Section::Declarations, 4, &old)),
+        apply_scan(&mut store, &whole(Section::Declarations, 4, &old)),
         eq(false)
     );
     let left: Vec<Arc<str>> = vec![KEPT.into()];
     expect_that!(present(&store), eq(&left));
     // A later write is accepted.
     expect_that!(
-        take(&mut store, &scan(7, &[row(DELETED, 7, Some(1))])),
+        apply_scan(&mut store, &scan(7, &[row(DELETED, 7, Some(1))])),
         eq(true)
     );
 }
@@ -106,8 +106,8 @@
 #[gtest]
 fn a_row_newer_than_a_complete_section_stays() {
     let mut store = Store::default();
-    take(&mut store, &scan(8, &[row(KEPT, 8, Some(1))]));
-    take(&mut store, &whole(Section::Declarations, 6, &[]));
+    apply_scan(&mut store, &scan(8, &[row(KEPT, 8, Some(1))]));
+    apply_scan(&mut store, &whole(Section::Declarations, 6, &[]));
     let left: Vec<Arc<str>> = vec![KEPT.into()];
     expect_that!(present(&store), eq(&left));
 }
@@ -115,17 +115,17 @@
 #[gtest]
 fn the_scan_of_a_store_names_its_complete_sections() {
     let mut reader = Store::default();
-    take(
+    apply_scan(
         &mut reader,
         &whole(Section::Declarations, 6, &[row(KEPT, 6, Some(1))]),
     );
     let mut other = Store::default();
-    take(
+    apply_scan(
         &mut other,
         &scan(4, &[row(DELETED, 4, Some(1)), row(KEPT, 4, Some(1))]),
     );
     expect_that!(other.digest(), not(eq(reader.digest())));
-    take(&mut other, &reader.scan_since(Revision::NONE));
+    apply_scan(&mut other, &reader.scan_since(Revision::NONE));
     expect_that!(present(&other), eq(&present(&reader)));
     expect_that!(other.digest(), eq(reader.digest()));
 }
@@ -135,12 +135,12 @@
 #[gtest]
 fn a_row_created_and_deleted_between_two_scans_is_not_restored() {
     let mut store = Store::default();
-    take(&mut store, &scan(4, &[row(DELETED, 4, Some(1))]));
-    take(&mut store, &whole(Section::Declarations, 5, &[]));
-    take(&mut store, &whole(Section::Declarations, 9, &[]));
+    apply_scan(&mut store, &scan(4, &[row(DELETED, 4, Some(1))]));
+    apply_scan(&mut store, &whole(Section::Declarations, 5, &[]));
+    apply_scan(&mut store, &whole(Section::Declarations, 9, &[]));
     let late = [row(DELETED, 7, Some(2))];
-    take(&mut store, &whole(Section::Declarations, 7, &late));
-    take(&mut store, &scan(7, &late));
+    apply_scan(&mut store, &whole(Section::Declarations, 7, &late));
+    apply_scan(&mut store, &scan(7, &late));
     expect_that!(value(&store, DELETED), none());
 }
 
@@ -149,12 +149,12 @@
 #[gtest]
 fn a_complete_section_overrides_a_change_that_was_reverted() {
     let mut store = Store::default();
-    take(&mut store, &scan(6, &[row(KEPT, 6, Some(2))]));
+    apply_scan(&mut store, &scan(6, &[row(KEPT, 6, Some(2))]));
     let read = whole(Section::Declarations, 9, &[row(KEPT, 4, Some(1))]);
-    take(&mut store, &read);
+    apply_scan(&mut store, &read);
     expect_that!(value(&store, KEPT), some(eq(1)));
     // The reverted change is not accepted again, although its revision is higher.
-    take(&mut store, &scan(6, &[row(KEPT, 6, Some(2))]));
+    apply_scan(&mut store, &scan(6, &[row(KEPT, 6, Some(2))]));
     expect_that!(value(&store, KEPT), some(eq(1)));
 }
 
@@ -175,12 +175,12 @@
     let mut reader = Store::default();
     let mut follower = Store::default();
     for store in [&mut reader, &mut follower] {
-        take(store, &scan_in(1));
+        apply_scan(store, &scan_in(1));
     }
     let taken = reader.sequence();
-    take(&mut reader, &scan_in(2));
+    apply_scan(&mut reader, &scan_in(2));
     let answer = reader.scan_for_follower(follower.digest(), Some(taken));
-    take(&mut follower, &answer);
+    apply_scan(&mut follower, &answer);
     let known = follower.snapshot().duties["g"].revision;
     expect_that!(known, eq(Revision::new(2, 20)));
 }
@@ -202,7 +202,7 @@
             whole: whole.into_iter().collect(),
             ..Scan::default()
         };
-        take(store, &scan);
+        apply_scan(store, &scan);
         store.snapshot().duties["g"].clone()
     };
     let mut store = Store::default();
@@ -270,7 +270,7 @@
         let rows: Vec<Row> = seen
             .map(|(key, (revision, value))| row(&name(key), *revision, *value))
             .collect();
-        take(
+        apply_scan(
             &mut self.store,
             &whole(Section::Declarations, version, &rows),
         );
@@ -383,7 +383,7 @@
         let delivery = self.in_transit.swap_remove(next);
         let at = &mut self.boxes[delivery.to];
         let is_complete = delivery.scan.same_as.is_none() || at.store.digest() == delivery.asked;
-        take(&mut at.store, &delivery.scan);
+        apply_scan(&mut at.store, &delivery.scan);
         at.cursors[delivery.from] = (delivery.life, delivery.taken);
         if is_complete {
             at.floor = at.floor.max(delivery.floor);
--- a/tests/unit/copies.rs
+++ b/tests/unit/copies.rs
@@ -31,7 +31,7 @@
 const GROUP: &str = "platform/db1";
 const STEP: Duration = Duration::from_millis(20);
 
-type Place = (&'static str, Arc<str>);
+type RowKey = (&'static str, Arc<str>);
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -58,7 +58,7 @@
         3 => changed.prop_map(Step::Change),
         2 => any::<Index>().prop_map(Step::Member),
         2 => any::<Index>().prop_map(Step::Claim),
-        8 => (any::<Index>(), 0..3_usize).prop_map(|(index, source)| Step::Read(index, source)),
+        8 => (any::<Index>(), 0..3_usize).prop_map(|(index, feed)| Step::Read(index, feed)),
         4 => (any::<Index>(), any::<Index>()).prop_map(|(to, from)| Step::Ask(to, from)),
         1 => any::<Index>().prop_map(Step::Restart),
         1 => (0..12_u64).prop_map(Step::Restore),
@@ -72,34 +72,34 @@
 struct Tables {
     era: u64,
     number: u64,
-    written: Vec<(u64, Place, Option<Value>)>,
+    written: Vec<(u64, RowKey, Option<Value>)>,
     /// Last value that the operator or a member wrote.
-    truth: BTreeMap<Place, Option<Value>>,
+    truth: BTreeMap<RowKey, Option<Value>>,
 }
 
 impl Tables {
-    fn put(&mut self, place: Place, value: Option<Value>) -> Revision {
+    fn put(&mut self, key: RowKey, value: Option<Value>) -> Revision {
         self.number += 1;
-        self.written.push((self.number, place, value));
+        self.written.push((self.number, key, value));
         Revision::new(self.era, self.number)
     }
 
-    fn declare(&mut self, place: Place, value: Option<Value>) {
-        self.truth.insert(place.clone(), value.clone());
-        self.put(place, value);
+    fn declare(&mut self, key: RowKey, value: Option<Value>) {
+        self.truth.insert(key.clone(), value.clone());
+        self.put(key, value);
     }
 
-    fn rows(&self) -> BTreeMap<&Place, (u64, &Option<Value>)> {
+    fn rows(&self) -> BTreeMap<&RowKey, (u64, &Option<Value>)> {
         let written = self.written.iter();
         written
-            .map(|(number, place, value)| (place, (*number, value)))
+            .map(|(number, key, value)| (key, (*number, value)))
             .collect()
     }
 
-    fn row(&self, place: &Place) -> (u64, Option<Value>) {
+    fn row(&self, key: &RowKey) -> (u64, Option<Value>) {
         let rows = self.rows();
         let row = rows
-            .get(place)
+            .get(key)
             .map(|(number, value)| (*number, (*value).clone()));
         row.unwrap_or_default()
     }
@@ -111,23 +111,23 @@
     }
 
     fn repeat_lost_writes(&mut self) {
-        for (place, value) in self.truth.clone() {
-            if self.row(&place).1 != value {
-                self.put(place, value);
+        for (key, value) in self.truth.clone() {
+            if self.row(&key).1 != value {
+                self.put(key, value);
             }
         }
     }
 
-    /// Returns the rows of a table after a number, or all present rows if none.
+    /// Returns the rows written after a number, or all present rows if `after` is `None`.
     fn read(&self, table: &str, after: Option<u64>) -> Rows {
-        let rows = self.rows().into_iter().filter(|(place, (number, value))| {
-            let told = after.map_or(value.is_some(), |after| *number > after);
-            place.0 == table && told
+        let rows = self.rows().into_iter().filter(|(key, (number, value))| {
+            let is_sent = after.map_or(value.is_some(), |after| *number > after);
+            key.0 == table && is_sent
         });
-        let row = |(place, (number, value)): (&Place, (u64, &Option<Value>))| {
+        let row = |(key, (number, value)): (&RowKey, (u64, &Option<Value>))| {
             let value = value.as_ref().map(|value| BASE64.encode(value.to_string()));
             let deleted = value.is_none();
-            json!({"tls_key": place.1, "schema_version": number, "value": value, "deleted": deleted})
+            json!({"tls_key": key.1, "schema_version": number, "value": value, "deleted": deleted})
         };
         let rows: Vec<Value> = rows.map(row).collect();
         let answer = json!({ "rows": rows, "schema_version": self.number }).to_string();
@@ -169,14 +169,14 @@
         }
     }
 
-    fn read(&mut self, tables: &Tables, source: Feed, now: Duration) {
-        let after = self.after.get(&source);
+    fn read(&mut self, tables: &Tables, feed: Feed, now: Duration) {
+        let after = self.after.get(&feed);
         let after = after.filter(|after| after.era() == tables.era);
-        let rows = tables.read(source.table(), after.map(|after| after.number()));
+        let rows = tables.read(feed.table(), after.map(|after| after.number()));
         let whole = after.is_none();
-        self.after.insert(source, rows.revision);
+        self.after.insert(feed, rows.revision);
         self.cache
-            .apply_rows(source, rows, whole, Written::After(Instant::now()));
+            .apply_rows(feed, rows, whole, Written::After(Instant::now()));
         if let Some(scan) = self.cache.take_changes() {
             self.accept(&scan, now);
         }
@@ -188,9 +188,9 @@
         }
         let snapshot = self.store.snapshot();
         let change = (&self.snapshot, &snapshot);
-        let heard = Some(Duration::ZERO);
+        let max_age = Some(Duration::ZERO);
         self.departures
-            .update(change, &DepartureAges::new(), heard, now);
+            .update(change, &DepartureAges::new(), max_age, now);
         self.snapshot = snapshot;
     }
 
@@ -231,7 +231,7 @@
     documents: BTreeMap<u64, BTreeSet<Arc<str>>>,
     /// State of each member: 0 absent, 1 ready, 2 draining, 3 removed.
     members: [u8; MEMBERS],
-    turn: u64,
+    ballots: u64,
     orders: Vec<u64>,
     now: Duration,
 }
@@ -243,7 +243,7 @@
             boxes: (0..boxes).map(Reader::new).collect(),
             documents: BTreeMap::new(),
             members: [0; MEMBERS],
-            turn: 0,
+            ballots: 0,
             orders: Vec::new(),
             now: Duration::ZERO,
         };
@@ -259,9 +259,9 @@
             Step::Change(databases) => self.change(databases),
             Step::Member(member) => self.member(member.index(MEMBERS)),
             Step::Claim(index) => self.claim(index.index(count)),
-            Step::Read(index, source) => {
-                let source = Feed::ALL[*source];
-                self.boxes[index.index(count)].read(&self.tables, source, now);
+            Step::Read(index, feed) => {
+                let feed = Feed::ALL[*feed];
+                self.boxes[index.index(count)].read(&self.tables, feed, now);
             }
             Step::Ask(to, from) => self.ask(to.index(count), from.index(count)),
             Step::Restart(index) => {
@@ -306,28 +306,28 @@
             _ => return,
         };
         self.members[member] += 1;
-        let place = ("servers", format!("i-{member}").into());
-        self.tables.declare(place, value);
+        let key = ("servers", format!("i-{member}").into());
+        self.tables.declare(key, value);
     }
 
     /// A box claims the duty with a conditional write, and orders a promotion if it succeeds.
     fn claim(&mut self, index: usize) {
-        let place: Place = ("larkfall", format!("duty/{GROUP}").into());
+        let key: RowKey = ("larkfall", format!("duty/{GROUP}").into());
         let claimant = &self.boxes[index];
-        self.turn += 1;
+        self.ballots += 1;
         let ballot = Ballot {
             replaced: 1,
-            term_offset: self.turn,
+            term_offset: self.ballots,
         };
         let mut duty = next_duty(claimant.duty(), &claimant.name, &ballot);
-        let (number, value) = self.tables.row(&place);
+        let (number, value) = self.tables.row(&key);
         let row_number = value.map_or(0, |_| number);
         if duty.revision.number() != row_number {
             return;
         }
         // The store compares numbers alone.
         let granted = row_number == 0 || duty.revision.era() == self.tables.era;
-        let written = self.tables.put(place, Some(json!(duty)));
+        let written = self.tables.put(key, Some(json!(duty)));
         if granted {
             duty.revision = written;
             let claim = Claim {
@@ -385,15 +385,15 @@
 
     /// Checks that every box reaches the last declared state, and may claim the duty, once all
     /// lost writes have been repeated and read.
-    fn settle(&mut self) -> Result<(), TestCaseError> {
+    fn check_final_state(&mut self) -> Result<(), TestCaseError> {
         self.tables.repeat_lost_writes();
         let newest = *self.documents.keys().next_back().expect("one");
         let members = self.members.iter().enumerate();
         let ready = members.filter(|(_, state)| **state == 1);
         let ready: BTreeSet<Arc<str>> = ready.map(|(i, _)| format!("i-{i}").into()).collect();
         for reader in &mut self.boxes {
-            for source in Feed::ALL {
-                reader.read(&self.tables, source, self.now);
+            for feed in Feed::ALL {
+                reader.read(&self.tables, feed, self.now);
             }
             prop_assert_eq!(reader.document().0, newest);
             prop_assert_eq!(reader.used(), ready.clone());
@@ -401,8 +401,8 @@
             let known = reader.snapshot.member(&listed).is_some();
             prop_assert_eq!(known, matches!(self.members[0], 1 | 2));
             let condition = reader.duty().map_or(Revision::NONE, |duty| duty.revision);
-            let place: Place = ("larkfall", format!("duty/{GROUP}").into());
-            let (number, value) = self.tables.row(&place);
+            let key: RowKey = ("larkfall", format!("duty/{GROUP}").into());
+            let (number, value) = self.tables.row(&key);
             prop_assert_eq!(condition.number(), value.map_or(0, |_| number));
             let current = condition.number() == 0 || condition.era() == self.tables.era;
             prop_assert!(current, "{}: no claim is ever granted", reader.name);
@@ -430,6 +430,6 @@
             world.apply(step);
             world.check()?;
         }
-        world.settle()?;
+        world.check_final_state()?;
     }
 }
--- a/tests/unit/departing.rs
+++ b/tests/unit/departing.rs
@@ -1,5 +1,5 @@
 //! Members that leave, vanish, die and join at random moments, and boxes that restart or get
-//! news late, in virtual time: no statement is sent to a member after its drain time.
+//! the list late, in virtual time: no statement is sent to a member after its drain time.
 //!
 //! `DEPARTING_SEEDS=1000-20999 cargo test --release --test unit departing::by_hand --
 //! --ignored --nocapture` runs other seeds.
@@ -30,8 +30,8 @@
 const TERMINATION_MS: std::ops::Range<u64> = 7_500..14_000;
 /// Time for which the entry of a dead member stays listed.
 const LAPSE_TIME: Duration = ms(3_600);
-/// Longest delay of news on a silent connection, in milliseconds.
-const MAX_NEWS_DELAY_MS: u64 = 3_200;
+/// Longest delay of the list on a silent connection, in milliseconds.
+const MAX_LIST_DELAY_MS: u64 = 3_200;
 /// Time for which a claimed duty is reserved for its box.
 const DUTY_TIME: Duration = ms(1_500);
 /// Duration of a promotion.
@@ -88,7 +88,7 @@
     boxes: Vec<Group>,
     /// Departures that each box knows of, by member.
     departures: Vec<BTreeMap<usize, Departure>>,
-    /// Until when each box's connection for news of the list is silent.
+    /// Until when each box's connection for the list is silent.
     silent_until: Vec<Duration>,
     duty_claimed_at: Option<Duration>,
     /// Number of statements sent to leaving members, in time or too late.
@@ -233,19 +233,20 @@
         }
     }
 
-    /// Sends the list to all boxes. A box with a silent connection gets no news until it notices.
+    /// Sends the list to all boxes. A box with a silent connection gets it only after
+    /// the silence.
     fn publish_list(&mut self) {
         for by in 0..BOXES {
             if self.now >= self.silent_until[by] && self.rng.random_range(0..6) == 0 {
                 self.silent_until[by] =
-                    self.now + ms(self.rng.random_range(100..MAX_NEWS_DELAY_MS));
+                    self.now + ms(self.rng.random_range(100..MAX_LIST_DELAY_MS));
             }
             let late = self.silent_until[by].saturating_sub(self.now);
             self.schedule(late.max(STEP), Due::DeliverList(by, late));
         }
     }
 
-    /// Tells a box of all departures, by news of at most this age.
+    /// Records all departures at a box, as announced at most `age` ago.
     fn learn_departures(&mut self, by: usize, age: Option<Duration>) {
         let departed = self.members.iter().enumerate();
         let departed = departed.filter(|(_, m)| m.announced_at.is_some());
@@ -260,11 +261,11 @@
         match due {
             Due::Deliver(by, event) => self.deliver(by, event),
             Due::DeliverList(by, late) => {
-                // News that arrives after a silence may have been sent at any time during it.
+                // A list that arrives after a silence may have been sent at any time during it.
                 let age = if late.is_zero() {
                     ms(0)
                 } else {
-                    ms(MAX_NEWS_DELAY_MS)
+                    ms(MAX_LIST_DELAY_MS)
                 };
                 self.learn_departures(by, Some(age));
                 self.apply_plan(by);
--- a/tests/unit/events.rs
+++ b/tests/unit/events.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Guards against the event being documented but never logged.
+/// Guards against an operator's change that is in the event catalogue but never logged.
 #[gtest]
 fn an_operators_change_is_logged_with_resource_and_revision() {
     let lines = Lines::default();
--- a/tests/unit/fake.rs
+++ b/tests/unit/fake.rs
@@ -552,7 +552,7 @@
                 self.statements.remove(&id);
                 self.counts.refused += 1;
             }
-            Action::ReportOutcome { id, outcome } => self.settle(id, outcome),
+            Action::ReportOutcome { id, outcome } => self.record_outcome(id, outcome),
             Action::Probe { member } => self.call(owner, member, Call::Status),
             Action::Fence { member, term } => self.call(owner, member, Call::Fence(term)),
             Action::Promote { member, term } => self.call(owner, member, Call::Promote(term)),
@@ -856,7 +856,7 @@
                 let since = statement.assigned.saturating_sub(max_age);
                 self.verify(owner, id, &statement, since);
             }
-            (None, _) => self.settle(id, Outcome::Confirmed),
+            (None, _) => self.record_outcome(id, Outcome::Confirmed),
         }
     }
 
@@ -871,7 +871,7 @@
         self.notify(owner, event);
     }
 
-    fn settle(&mut self, id: u64, outcome: Outcome) {
+    fn record_outcome(&mut self, id: u64, outcome: Outcome) {
         let Some(statement) = self.statements.remove(&id) else {
             return;
         };
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -582,7 +582,7 @@
 }
 
 /// A replica may receive a new primary's entries before it reports the new term. Guards
-/// against taking them for the old primary's last write.
+/// against counting these entries as writes of the old primary.
 #[gtest]
 fn entries_of_a_later_term_do_not_count_for_the_reported_term() {
     let row = "DATA replica 1 2.136 0 0 0 8";
@@ -777,7 +777,7 @@
     );
 }
 
-/// Some members never announce that they leave: their entry is removed while they still serve.
+/// Guards against statements to a member whose entry is removed without an announcement.
 #[gtest]
 fn a_primary_missing_from_the_list_stops_getting_statements_in_time() {
     let mut fixture = Fixture::new(0);
@@ -790,7 +790,7 @@
             fixture.report_all();
         }
     };
-    // The entry may only have lapsed while the table was unreachable.
+    // The entry may have expired while the table was unreachable.
     report_until(&mut fixture, ms(2_800));
     expect_that!(fixture.count_actions(|a| *a == Action::ClaimDuty), eq(0));
     fixture.submit_write(1);
--- a/tests/unit/leaving.rs
+++ b/tests/unit/leaving.rs
@@ -205,23 +205,23 @@
         Some(ms(40)),
         ms(1_000),
     );
-    // The age is counted from the first news; later news of the same announcement is ignored.
+    // The age is counted from the first update; later ones with the same announcement are ignored.
     first.update(
         (&empty, &snapshot),
         &DepartureAges::new(),
         Some(ms(0)),
         ms(2_000),
     );
-    let told = first.ages(ms(3_000));
-    expect_that!(told[&row.key], some(eq(2_040)));
+    let ages = first.ages(ms(3_000));
+    expect_that!(ages[&row.key], some(eq(2_040)));
     // The second box started after the announcement, so its clock reads less than the age.
     let mut second = Departures::default();
     second.update((&empty, &snapshot), &DepartureAges::new(), None, ms(10));
     expect_that!(second.has_unknown_age(ms(10)), eq(true));
     expect_that!(second.ages(ms(10))[&row.key], none());
-    expect_that!(second.merge_ages(&told, ms(20)), eq(true));
+    expect_that!(second.merge_ages(&ages, ms(20)), eq(true));
     expect_that!(second.ages(ms(30))[&row.key], some(eq(2_050)));
-    expect_that!(second.merge_ages(&told, ms(40)), eq(false));
+    expect_that!(second.merge_ages(&ages, ms(40)), eq(false));
 }
 
 /// Returns a snapshot of a table that declares a group of one member.
@@ -260,16 +260,21 @@
     let mut store = Store::default();
     let mut departures = Departures::default();
     let announced = declared(&mut store, Revision::new(1, 24), declaration(true, 5));
-    let heard = Some(Duration::ZERO);
+    let max_age = Some(Duration::ZERO);
     let before = Snapshot::default();
     departures.update(
         (&before, &announced),
         &DepartureAges::new(),
-        heard,
+        max_age,
         ms(1_000),
     );
     let copy = declared(&mut store, Revision::new(2, 20), declaration(false, 5));
-    departures.update((&announced, &copy), &DepartureAges::new(), heard, ms(2_000));
+    departures.update(
+        (&announced, &copy),
+        &DepartureAges::new(),
+        max_age,
+        ms(2_000),
+    );
     let leaving = |departures: &Departures, snapshot: &Snapshot| {
         let applied = snapshot.clone().with_departures(departures.iter());
         applied.groups["p/g"].members[0].leaving
@@ -277,12 +282,12 @@
     expect_that!(leaving(&departures, &copy), eq(true));
     // The same announcement, written again, keeps its age.
     let again = declared(&mut store, Revision::new(2, 26), declaration(true, 5));
-    departures.update((&copy, &again), &DepartureAges::new(), heard, ms(3_000));
+    departures.update((&copy, &again), &DepartureAges::new(), max_age, ms(3_000));
     let key: Arc<str> = "resource/member/p/g.m0".into();
     expect_that!(departures.ages(ms(3_000))[&key], some(eq(2_000)));
     // Within one era of the table, the member itself may withdraw its announcement.
     let stays = declared(&mut store, Revision::new(2, 30), declaration(false, 5));
-    departures.update((&again, &stays), &DepartureAges::new(), heard, ms(4_000));
+    departures.update((&again, &stays), &DepartureAges::new(), max_age, ms(4_000));
     expect_that!(leaving(&departures, &stays), eq(false));
 }
 
@@ -292,18 +297,18 @@
     let mut store = Store::default();
     let mut departures = Departures::default();
     let announced = declared(&mut store, Revision::new(1, 24), declaration(true, 5));
-    let heard = Some(Duration::ZERO);
+    let max_age = Some(Duration::ZERO);
     departures.update(
         (&Snapshot::default(), &announced),
         &DepartureAges::new(),
-        heard,
+        max_age,
         ms(1_000),
     );
     let started = declared(&mut store, Revision::new(2, 20), declaration(false, 6));
     departures.update(
         (&announced, &started),
         &DepartureAges::new(),
-        heard,
+        max_age,
         ms(2_000),
     );
     expect_that!(departures.iter().count(), eq(0));
@@ -316,11 +321,11 @@
     let mut store = Store::default();
     let announced = declared(&mut store, Revision::new(2, 26), declaration(true, 5));
     let mut departures = Departures::default();
-    let heard = Some(Duration::ZERO);
+    let max_age = Some(Duration::ZERO);
     departures.update(
         (&Snapshot::default(), &announced),
         &DepartureAges::new(),
-        heard,
+        max_age,
         ms(100),
     );
     let key: Arc<str> = "resource/member/p/g.m0".into();
@@ -332,10 +337,11 @@
     expect_that!(departures.ages(ms(300))[&key], some(eq(4_100)));
 }
 
-/// An entry may only have lapsed while the store was away, so a member that is no longer listed
-/// is served for at least 3 s, but not longer than that if the news came late.
+/// A live member's entry may expire while the store is unreachable, so a member
+/// that is no longer listed is served for at least 3 s, and for no longer if the announcement was
+/// received late.
 #[gtest]
-fn the_drain_time_of_an_unlisted_member_includes_the_age_of_the_news() {
+fn the_drain_time_of_an_unlisted_member_includes_the_age_of_the_announcement() {
     let known = [
         (ms(0), ms(4_500)),
         (ms(500), ms(4_000)),
@@ -350,8 +356,8 @@
             departures,
             ..Plan::clone(&plan(vec![member(1, true)]))
         });
-        let heard = bench.now;
-        bench.group.set_plan(unlisted, heard);
+        let learned = bench.now;
+        bench.group.set_plan(unlisted, learned);
         report_primary_for(&mut bench, end - ms(100));
         bench.submit_write(1);
         expect_that!(assigned(&bench, 1), eq(true), "an announcement {age:?} old");
--- a/tests/unit/orders.rs
+++ b/tests/unit/orders.rs
@@ -58,7 +58,7 @@
     Fence {
         owner: usize,
         member: usize,
-        bid: Fence,
+        request: Fence,
     },
     /// The second half of a fence.
     GrantFence {
@@ -224,8 +224,12 @@
                 began,
             }),
             Action::Fence { member, term } => {
-                let bid = self.boxes[owner].fence_request(term);
-                self.send(Step::Fence { owner, member, bid });
+                let request = self.boxes[owner].fence_request(term);
+                self.send(Step::Fence {
+                    owner,
+                    member,
+                    request,
+                });
             }
             Action::ReleaseFence { member } => self.send(Step::ReleaseFence { member }),
             Action::Follow { member, term, .. } => self.send(Step::Follow { member, term }),
@@ -326,7 +330,11 @@
                 member,
                 began,
             } => self.send_status(owner, member, began),
-            Step::Fence { owner, member, bid } => self.fence(owner, member, bid),
+            Step::Fence {
+                owner,
+                member,
+                request,
+            } => self.fence(owner, member, request),
             Step::GrantFence {
                 owner,
                 member,
@@ -409,14 +417,14 @@
         self.schedule(after, Step::Deliver(owner, event));
     }
 
-    fn fence(&mut self, owner: usize, member: usize, bid: Fence) {
+    fn fence(&mut self, owner: usize, member: usize, request: Fence) {
         let node = self.members[member];
         let promised = node.status().promised;
-        let superseded = promised > bid.known_promise.max(bid.replaced);
-        let term = bid.term;
+        let superseded = promised > request.known_promise.max(request.replaced);
+        let term = request.term;
         let answer = match node.unreachable {
             true => Err(MemberError::TimedOut),
-            false if node.term > bid.replaced || superseded => {
+            false if node.term > request.replaced || superseded => {
                 Err(MemberError::Fenced { promised })
             }
             false => {
--- a/tests/unit/restarted.rs
+++ b/tests/unit/restarted.rs
@@ -10,10 +10,10 @@
 use super::fake::ms;
 use super::lease::{Fixture, member, plan, status};
 
-/// Returns a member whose process started at `born`.
-fn member_started_at(i: usize, born: u64) -> Member {
+/// Returns a member whose process started at `started_at`.
+fn member_started_at(i: usize, started_at: u64) -> Member {
     let mut fields = serde_json::to_value(member(i, false)).expect("a member serialises");
-    fields["born"] = json!(born);
+    fields["born"] = json!(started_at);
     serde_json::from_value(fields).expect("a member")
 }
 
@@ -26,8 +26,10 @@
 }
 
 /// Applies a list with these start times of the members.
-fn apply_list(bench: &mut Fixture, born: [u64; 3]) {
-    let members = (0..3).map(|i| member_started_at(i, born[i])).collect();
+fn apply_list(bench: &mut Fixture, started_at: [u64; 3]) {
+    let members = (0..3)
+        .map(|i| member_started_at(i, started_at[i]))
+        .collect();
     let now = bench.now;
     bench.group.set_plan(plan(members), now);
     bench.handle(Event::Tick);
@@ -136,7 +138,7 @@
     }
 }
 
-/// Guards against late news from a box that only knows the earlier start.
+/// Guards against a late list from a box that only knows the earlier start.
 #[gtest]
 fn an_older_start_never_replaces_a_newer_one() {
     let mut bench = probed_group();
@@ -172,7 +174,7 @@
     bench.report(2, status(Role::Replica, 2, 2, 11));
     apply_list(&mut bench, [2, 1, 1]);
     let former = index_of(&bench, 0);
-    // A new primary is not replaced before the rest between two replacements is over.
+    // Waits for the cooldown after the last failover.
     bench.advance(ms(1_100));
     bench.handle(Event::ConnectionLost { member: 1 });
     for name in ["b1", "b2"] {
--- a/tests/unit/setup.rs
+++ b/tests/unit/setup.rs
@@ -64,10 +64,10 @@
     expect_that!(state.steps_to(&first).len(), eq(1));
 }
 
-fn ballot(replaced: u64, turn: u64) -> Ballot {
+fn ballot(replaced: u64, term_offset: u64) -> Ballot {
     Ballot {
         replaced,
-        term_offset: turn,
+        term_offset,
     }
 }
 
