--- a/src/decisions/failover/orphaned.rs
+++ b/src/decisions/failover/orphaned.rs
@@ -38,7 +38,7 @@
 }
 
 impl OrphanedFences {
-    /// Moves a restarted member to its new index, where it has to be seen again.
+    /// Moves a restarted member to its new index, where it counts as unseen.
     pub(super) fn move_member(&mut self, earlier: usize, member: usize) {
         self.unseen.remove(&earlier);
         self.unseen.insert(member);
--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -473,9 +473,9 @@
             }
             Event::OpinionReceived {
                 from,
-                same_domain: near,
+                same_domain,
                 suspects,
-            } => self.failover.record_opinion(from, near, suspects),
+            } => self.failover.record_opinion(from, same_domain, suspects),
             Event::PrimaryAnnounced { term, primary } => {
                 self.learn_primary(term, &primary, now, &mut out)
             }
--- a/src/decisions/group/dispatch.rs
+++ b/src/decisions/group/dispatch.rs
@@ -442,7 +442,7 @@
                 self.assign(&request, member, out);
                 return;
             }
-            // The member became too old for the request meanwhile.
+            // The member's data became too old for the request while it was queued.
             next = self.members[member]
                 .queue
                 .finish(self.settings.service_time);
--- a/src/decisions/group/observation.rs
+++ b/src/decisions/group/observation.rs
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Confirms the requests that only need the lease, or a proof that the term was not replaced
-    /// after they were answered.
+    /// Confirms the requests for which the lease, or a later proof that the term was not
+    /// replaced, suffices.
     pub(super) fn confirm_by_lease(&mut self, now: Duration, out: &mut Vec<Action>) {
         let term = self.failover.term;
         let ended = match (self.holds_lease(now), self.term_confirmed_at(now)) {
--- a/tests/unit/configuration.rs
+++ b/tests/unit/configuration.rs
@@ -177,9 +177,9 @@
     for store in [&mut reader, &mut follower] {
         apply_scan(store, &scan_in(1));
     }
-    let taken = reader.sequence();
+    let sequence = reader.sequence();
     apply_scan(&mut reader, &scan_in(2));
-    let answer = reader.scan_for_follower(follower.digest(), Some(taken));
+    let answer = reader.scan_for_follower(follower.digest(), Some(sequence));
     apply_scan(&mut follower, &answer);
     let known = follower.snapshot().duties["g"].revision;
     expect_that!(known, eq(Revision::new(2, 20)));
@@ -251,10 +251,10 @@
     /// Each row with the revision at which the box saw it change.
     read: [(u64, Option<u64>); KEYS],
     /// Latest version that the box has read, or received completely.
-    floor: u64,
+    complete_version: u64,
     /// Number of restarts.
-    life: u64,
-    /// For each other box, the life and the position of its last answer.
+    restarts: u64,
+    /// For each other box, its restarts and sequence at its last answer.
     cursors: [(u64, u64); BOXES],
 }
 
@@ -274,12 +274,12 @@
             &mut self.store,
             &whole(Section::Declarations, version, &rows),
         );
-        self.floor = version;
+        self.complete_version = version;
     }
 
     fn restart(&mut self) {
         *self = Reader {
-            life: self.life + 1,
+            restarts: self.restarts + 1,
             ..Reader::default()
         };
     }
@@ -287,7 +287,7 @@
     /// Whether a row is older than the version that the box has read, or received completely.
     fn is_behind(&self, key: usize, history: &[Document]) -> bool {
         let known = value(&self.store, &name(key));
-        let since = &history[self.floor as usize..];
+        let since = &history[self.complete_version as usize..];
         since.iter().all(|document| document[key] != known)
     }
 }
@@ -295,12 +295,12 @@
 /// An answer in transit.
 struct Delivery {
     from: usize,
-    life: u64,
+    restarts: u64,
     to: usize,
-    asked: u64,
+    digest: u64,
     /// Version of a complete answer.
-    floor: u64,
-    taken: u64,
+    complete_version: u64,
+    sequence: u64,
     scan: Scan,
 }
 
@@ -350,31 +350,31 @@
     }
 
     fn ask(&mut self, to: usize, from: usize, follows: bool) {
-        let asked = self.boxes[to].store.digest();
-        let (life, taken) = self.boxes[to].cursors[from];
+        let digest = self.boxes[to].store.digest();
+        let (restarts, sequence) = self.boxes[to].cursors[from];
         let peer = &self.boxes[from];
-        let continues = follows && taken > 0 && life == peer.life;
+        let continues = follows && sequence > 0 && restarts == peer.restarts;
         let scan = match continues {
-            true => peer.store.scan_for_follower(asked, Some(taken)),
-            false if follows => peer.store.scan_for_follower(asked, None),
+            true => peer.store.scan_for_follower(digest, Some(sequence)),
+            false if follows => peer.store.scan_for_follower(digest, None),
             false => peer.store.scan_for_peer(&ScanRequest {
                 since: Revision::NONE,
-                digest: asked,
+                digest,
             }),
         };
         let is_whole = !continues || scan.same_as.is_some();
         self.in_transit.push(Delivery {
             from,
-            life: peer.life,
+            restarts: peer.restarts,
             to,
-            asked,
-            floor: if is_whole { peer.floor } else { 0 },
-            taken: peer.store.sequence(),
+            digest,
+            complete_version: if is_whole { peer.complete_version } else { 0 },
+            sequence: peer.store.sequence(),
             scan,
         });
     }
 
-    /// Delivers any one of the answers in transit.
+    /// Delivers a random answer in transit.
     fn deliver(&mut self) {
         if self.in_transit.is_empty() {
             return;
@@ -382,11 +382,11 @@
         let next = self.random.random_range(0..self.in_transit.len());
         let delivery = self.in_transit.swap_remove(next);
         let at = &mut self.boxes[delivery.to];
-        let is_complete = delivery.scan.same_as.is_none() || at.store.digest() == delivery.asked;
+        let is_complete = delivery.scan.same_as.is_none() || at.store.digest() == delivery.digest;
         apply_scan(&mut at.store, &delivery.scan);
-        at.cursors[delivery.from] = (delivery.life, delivery.taken);
+        at.cursors[delivery.from] = (delivery.restarts, delivery.sequence);
         if is_complete {
-            at.floor = at.floor.max(delivery.floor);
+            at.complete_version = at.complete_version.max(delivery.complete_version);
         }
     }
 }
--- a/tests/unit/copies.rs
+++ b/tests/unit/copies.rs
@@ -74,7 +74,7 @@
     number: u64,
     written: Vec<(u64, RowKey, Option<Value>)>,
     /// Last value that the operator or a member wrote.
-    truth: BTreeMap<RowKey, Option<Value>>,
+    declared_rows: BTreeMap<RowKey, Option<Value>>,
 }
 
 impl Tables {
@@ -85,7 +85,7 @@
     }
 
     fn declare(&mut self, key: RowKey, value: Option<Value>) {
-        self.truth.insert(key.clone(), value.clone());
+        self.declared_rows.insert(key.clone(), value.clone());
         self.put(key, value);
     }
 
@@ -111,7 +111,7 @@
     }
 
     fn repeat_lost_writes(&mut self) {
-        for (key, value) in self.truth.clone() {
+        for (key, value) in self.declared_rows.clone() {
             if self.row(&key).1 != value {
                 self.put(key, value);
             }
@@ -194,8 +194,8 @@
         self.snapshot = snapshot;
     }
 
-    fn answer(&self, question: &ScanRequest) -> Scan {
-        self.store.scan_for_peer(question)
+    fn answer(&self, request: &ScanRequest) -> Scan {
+        self.store.scan_for_peer(request)
     }
 
     fn duty(&self) -> Option<&Duty> {
@@ -257,7 +257,7 @@
         let count = self.boxes.len();
         match step {
             Step::Change(databases) => self.change(databases),
-            Step::Member(member) => self.member(member.index(MEMBERS)),
+            Step::Member(member) => self.change_member(member.index(MEMBERS)),
             Step::Claim(index) => self.claim(index.index(count)),
             Step::Read(index, feed) => {
                 let feed = Feed::ALL[*feed];
@@ -291,7 +291,7 @@
         self.tables.declare(("op", "config".into()), Some(document));
     }
 
-    fn member(&mut self, member: usize) {
+    fn change_member(&mut self, member: usize) {
         let entry = |state: &str| {
             json!({
                 "backend": "db1", "address": format!("127.0.0.1:{}", member + 1), "zone": "z",
@@ -339,11 +339,11 @@
     }
 
     fn ask(&mut self, to: usize, from: usize) {
-        let question = ScanRequest {
+        let request = ScanRequest {
             since: Revision::NONE,
             digest: self.boxes[to].store.digest(),
         };
-        let scan = self.boxes[from].answer(&question);
+        let scan = self.boxes[from].answer(&request);
         self.boxes[to].accept(&scan, self.now);
     }
 
@@ -367,16 +367,16 @@
             );
             reader.generation = generation;
             let used = reader.used();
-            let back: Vec<_> = used.intersection(&reader.left).collect();
-            prop_assert!(back.is_empty(), "{}: {back:?} used again", reader.name);
+            let reused: Vec<_> = used.intersection(&reader.left).collect();
+            prop_assert!(reused.is_empty(), "{}: {reused:?} used again", reader.name);
             // A member that was removed without an announcement may return.
-            let said = reader
+            let announced = reader
                 .departures
                 .iter()
                 .filter(|(member, _)| member.leaving);
             reader
                 .left
-                .extend(said.map(|(member, _)| member.name.clone()));
+                .extend(announced.map(|(member, _)| member.name.clone()));
         }
         let rises = self.orders.is_sorted_by(|earlier, later| earlier < later);
         prop_assert!(rises, "orders {:?}", self.orders);
--- a/tests/unit/departing.rs
+++ b/tests/unit/departing.rs
@@ -41,7 +41,7 @@
 struct FakeMember {
     alive: bool,
     listed: bool,
-    /// Whether the member announced that it leaves; an entry may also vanish without.
+    /// Whether the member announced that it leaves; its entry may also vanish without that.
     leaving: bool,
     /// When the member announced that it leaves, or its entry vanished.
     announced_at: Option<Duration>,
@@ -70,7 +70,7 @@
 
 enum Due {
     Deliver(usize, Event),
-    /// The list of that moment reaches a box, delayed by a silent connection.
+    /// The list reaches a box, after this delay by a silent connection.
     DeliverList(usize, Duration),
     /// A box learns the ages of the announcements.
     LearnAges(usize),
@@ -340,8 +340,8 @@
             Action::Probe { member } => self.probe(by, member),
             Action::ClaimDuty => self.claim(by),
             Action::RevokeLeases { term } => {
-                for of in (0..BOXES).filter(|of| *of != by) {
-                    self.schedule(STEP, Due::Deliver(of, Event::RevokeLease));
+                for other in (0..BOXES).filter(|other| *other != by) {
+                    self.schedule(STEP, Due::Deliver(other, Event::RevokeLease));
                 }
                 self.schedule(STEP * 2, Due::Deliver(by, Event::LeasesRevoked { term }));
             }
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -185,7 +185,8 @@
         self.actions.iter().filter(|action| wanted(action)).count()
     }
 
-    /// Breaks the primary, lets the other boxes agree, and wins the duty.
+    /// Starts a ballot: the primary fails, the other boxes suspect it too, and this box wins the
+    /// duty.
     pub fn start_ballot(&mut self) {
         self.handle(Event::ConnectionLost { member: 0 });
         for name in ["b1", "b2"] {
@@ -499,7 +500,7 @@
             answer,
         });
     }
-    // The primary is healthy after all.
+    // A later report shows that the primary still leads.
     fixture.report(0, status(Role::Primary, 1, 1, 10));
 }
 
@@ -542,7 +543,8 @@
     expect_that!(fixture.count_actions(|a| *a == Action::ClaimDuty), gt(1));
 }
 
-/// The list entry of a member beyond a partition lapses although the member may lead there.
+/// The entry of a member beyond a partition may expire although the member was promoted there.
+/// Guards against releasing the fence then.
 #[gtest]
 fn a_fence_is_kept_after_the_possibly_promoted_member_left_the_list() {
     let mut fixture = Fixture::new(0);
--- a/tests/unit/limits.rs
+++ b/tests/unit/limits.rs
@@ -106,21 +106,21 @@
     }
 
     fn admit(&mut self, i: usize, now: Duration) -> bool {
-        let caller = self.boxes[i].clone();
+        let borrower = self.boxes[i].clone();
         match self.scheme {
-            Scheme::FixedShares => self.admit_fixed(&caller, now),
-            Scheme::Lent => self.admit_lent(&caller, now),
+            Scheme::FixedShares => self.admit_fixed(&borrower, now),
+            Scheme::Lent => self.admit_lent(&borrower, now),
         }
     }
 
-    fn admit_fixed(&mut self, caller: &Listing, now: Duration) -> bool {
+    fn admit_fixed(&mut self, borrower: &Listing, now: Duration) -> bool {
         let boxes = self.boxes.len() as f64;
         let share = Limit {
             rate: self.limit.rate / boxes,
             burst: self.limit.burst / boxes,
             initial: 0.0,
         };
-        let granted = self.lend(caller, share, 1, now);
+        let granted = self.lend(borrower, share, 1, now);
         matches!(granted, Loan::Granted(_))
     }
 
@@ -134,31 +134,43 @@
         cut(from) == cut(to)
     }
 
-    fn admit_lent(&mut self, caller: &Listing, now: Duration) -> bool {
-        let allowance = &mut self.nodes.get_mut(&*caller.name).expect("known").allowance;
+    fn admit_lent(&mut self, borrower: &Listing, now: Duration) -> bool {
+        let allowance = &mut self
+            .nodes
+            .get_mut(&*borrower.name)
+            .expect("known")
+            .allowance;
         allowance.record_operation(now);
         loop {
-            let allowance = &mut self.nodes.get_mut(&*caller.name).expect("known").allowance;
+            let allowance = &mut self
+                .nodes
+                .get_mut(&*borrower.name)
+                .expect("known")
+                .allowance;
             let wanted = match allowance.spend(0, now) {
                 Spending::Paid => return true,
                 Spending::Exhausted(_) => return false,
                 Spending::Borrow(wanted) => wanted,
             };
-            let loan = self.borrow(caller, wanted, now);
-            let allowance = &mut self.nodes.get_mut(&*caller.name).expect("known").allowance;
+            let loan = self.borrow(borrower, wanted, now);
+            let allowance = &mut self
+                .nodes
+                .get_mut(&*borrower.name)
+                .expect("known")
+                .allowance;
             allowance.record_loan(loan, now);
         }
     }
 
-    fn borrow(&mut self, caller: &Listing, wanted: u32, now: Duration) -> Loan {
+    fn borrow(&mut self, borrower: &Listing, wanted: u32, now: Duration) -> Loan {
         let boxes = self.boxes.clone();
         let mut lenders = lenders(WORKSPACE, &boxes);
         let parts = self.limit.part_count(lenders.len());
         lenders.truncate(parts);
-        lenders.sort_by_key(|lender| lender.domain != caller.domain);
+        lenders.sort_by_key(|lender| lender.domain != borrower.domain);
         let mut soonest = LENDER_COOLDOWN;
         for lender in lenders {
-            if self.crashed.contains(&lender.name) || !self.can_reach(caller, lender) {
+            if self.crashed.contains(&lender.name) || !self.can_reach(borrower, lender) {
                 continue;
             }
             match self.lend(lender, self.limit.part(parts), wanted, now) {
--- a/tests/unit/orders.rs
+++ b/tests/unit/orders.rs
@@ -182,7 +182,7 @@
         self.steps.insert(self.next_id, step);
     }
 
-    /// Draws the delay of one message; some messages reach a busy member.
+    /// Draws the delay of one message; a tenth of them are slow, as for a busy member.
     fn delay(&mut self) -> Duration {
         match self.rng.random_range(0..10) {
             0 => ms(self.rng.random_range(20..250)),
--- a/tests/unit/setup.rs
+++ b/tests/unit/setup.rs
@@ -83,7 +83,7 @@
     // A group that is created again starts its terms from the beginning.
     let recreated = next_duty(Some(&third), &b, &ballot(0, 1));
     expect_that!(recreated.generation, gt(third.generation));
-    // Two boxes that continue from the same number without the table.
+    // Two boxes that follow the same known duty get different generations.
     let known = Duty {
         holder: "c".into(),
         ..first
@@ -96,7 +96,7 @@
 }
 
 #[gtest]
-fn a_claim_does_not_stand_once_another_box_has_taken_the_duty() {
+fn a_claim_is_not_current_once_another_box_has_claimed_the_duty() {
     let (a, b): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
     let at = |revision, duty: Duty| Duty { revision, ..duty };
     let claim = |duty: &Duty| Claim {
@@ -111,10 +111,10 @@
     expect_that!(claim(&second).is_current(Some(&first)), eq(true));
 }
 
-/// A table that was restored from an older copy lacks the claim, so another box may take the duty
-/// from there while the holder still gives orders.
+/// A table that was restored from an older copy lacks the claim, so another box may claim the duty
+/// there while the holder still gives orders.
 #[gtest]
-fn a_claim_does_not_stand_after_the_table_was_restored_from_an_older_copy() {
+fn a_claim_is_not_current_after_the_table_was_restored_from_an_older_copy() {
     let a: Arc<str> = "a".into();
     let at = |revision, duty: Duty| Duty { revision, ..duty };
     let first = at(Revision::new(1, 5), next_duty(None, &a, &ballot(1, 1)));
@@ -127,12 +127,12 @@
     expect_that!(claim.is_current(Some(&restored)), eq(false));
 }
 
-/// A member must not take an earlier order for the newer one, also if the box that gave it was cut
-/// off from the table.
+/// Guards against a later order with a lower generation than one of a box that was cut off from
+/// the table.
 #[gtest]
-fn a_later_order_has_the_higher_number_also_after_one_without_the_table() {
+fn a_later_order_has_the_higher_generation_also_after_one_without_the_table() {
     // The first box is cut off from the table. The second, whose ballot comes later, can't know
-    // the first one's number, but has seen its term at the members.
+    // the first one's generation, but has seen its term at the members.
     let claim = |known: Option<&Duty>, holder: &str| Claim {
         duty: next_duty(known, &holder.into(), &ballot(3, 1)),
         unconfirmed: true,
@@ -141,8 +141,8 @@
     let second = claim(None, "edge-santiago-b-2");
     let number = first.generation(&ballot(3, 1));
     expect_that!(second.generation(&ballot(3, 3)), gt(number));
-    // The same if the second box has held the duty all along and the first box took itself for
-    // the next holder.
+    // The same if the second box has held the duty all along and the first box claimed it
+    // next without the table.
     let held = claim(None, "edge-santiago-b-2").duty;
     let first = claim(Some(&held), "edge-santiago-a-3");
     let number = first.generation(&ballot(3, 2));
@@ -150,7 +150,7 @@
     expect_that!(second.generation(&ballot(3, 3)), gt(number));
     // The same after the promotion, whatever the terms of later ballots.
     expect_that!(second.generation(&ballot(4, 1)), gt(number));
-    // The next holder's generation is above all numbers of the holder before.
+    // The next holder's generation is above all generations of the previous holder.
     let next = next_duty(
         Some(&first.duty),
         &"edge-santiago-b-2".into(),
