--- a/src/decisions/group/dispatch.rs
+++ b/src/decisions/group/dispatch.rs
@@ -350,7 +350,7 @@
         let believed = request.believed;
         let run = self.members[member].latency.mean(now);
         let queue = &mut self.members[member].queue;
-        // A request that waited for a primary misses its latency target anyway.
+        // A request that waited for a primary has missed its latency target already.
         let prompt = now < request.arrived + PROMPT_DISPATCH_LIMIT || self.settings.serve_late;
         let aim = request.aim.filter(|_| prompt);
         let limit = request.deadline;
--- a/src/decisions/group/membership.rs
+++ b/src/decisions/group/membership.rs
@@ -82,7 +82,7 @@
             let limit = member.drain_time(&self.settings);
             let leaves = member.spec.leaving || member.missing_since.is_some();
             let announced = self.plan.departures.get(&member.spec.name).copied();
-            // The entry of a missing member may only have lapsed.
+            // The entry of a missing member may only have expired.
             let announced = match member.spec.leaving {
                 true => announced,
                 false => announced.map(|known| known.cap_age(limit.saturating_sub(grace))),
--- a/tests/unit/leaving.rs
+++ b/tests/unit/leaving.rs
@@ -24,90 +24,92 @@
 
 /// Returns a group whose only member, the primary, announces that it leaves.
 fn last_member_leaves() -> Fixture {
-    let mut bench = Fixture::new(0);
-    bench
+    let mut fixture = Fixture::new(0);
+    fixture
         .group
-        .set_plan(plan(vec![member(0, false)]), bench.now);
-    report_primary_for(&mut bench, ms(4_000));
-    bench.group.set_plan(plan(vec![member(0, true)]), bench.now);
-    bench
+        .set_plan(plan(vec![member(0, false)]), fixture.now);
+    report_primary_for(&mut fixture, ms(4_000));
+    fixture
+        .group
+        .set_plan(plan(vec![member(0, true)]), fixture.now);
+    fixture
 }
 
 /// Lets the primary report regularly for a while.
-fn report_primary_for(bench: &mut Fixture, length: Duration) {
-    let end = bench.now + length;
-    while bench.now < end {
-        bench.now += ms(50);
-        bench.report(0, status(Role::Primary, 1, 1, 10));
+fn report_primary_for(fixture: &mut Fixture, length: Duration) {
+    let end = fixture.now + length;
+    while fixture.now < end {
+        fixture.now += ms(50);
+        fixture.report(0, status(Role::Primary, 1, 1, 10));
     }
 }
 
-fn assigned(bench: &Fixture, wanted: u64) -> bool {
-    bench.count_actions(|a| matches!(a, Action::Assign { id, .. } if *id == wanted)) > 0
+fn assigned(fixture: &Fixture, wanted: u64) -> bool {
+    fixture.count_actions(|a| matches!(a, Action::Assign { id, .. } if *id == wanted)) > 0
 }
 
-fn refused(bench: &Fixture, wanted: u64) -> bool {
-    bench.count_actions(|a| matches!(a, Action::Refuse { id, .. } if *id == wanted)) > 0
+fn refused(fixture: &Fixture, wanted: u64) -> bool {
+    fixture.count_actions(|a| matches!(a, Action::Refuse { id, .. } if *id == wanted)) > 0
 }
 
 #[gtest]
 fn a_leaving_primary_without_successor_gets_no_statements_after_its_drain_time() {
-    let mut bench = last_member_leaves();
-    report_primary_for(&mut bench, ms(1_000));
-    bench.submit_write(1);
-    bench.submit_read(2, ms(500));
-    expect_that!(assigned(&bench, 1) && assigned(&bench, 2), eq(true));
-    report_primary_for(&mut bench, DRAIN - ms(1_500));
-    bench.submit_write(3);
-    bench.submit_read(4, ms(500));
-    expect_that!(assigned(&bench, 3) || assigned(&bench, 4), eq(false));
+    let mut fixture = last_member_leaves();
+    report_primary_for(&mut fixture, ms(1_000));
+    fixture.submit_write(1);
+    fixture.submit_read(2, ms(500));
+    expect_that!(assigned(&fixture, 1) && assigned(&fixture, 2), eq(true));
+    report_primary_for(&mut fixture, DRAIN - ms(1_500));
+    fixture.submit_write(3);
+    fixture.submit_read(4, ms(500));
+    expect_that!(assigned(&fixture, 3) || assigned(&fixture, 4), eq(false));
     // No member will serve the requests in time, so they are refused at once.
-    expect_that!(refused(&bench, 3) && refused(&bench, 4), eq(true));
+    expect_that!(refused(&fixture, 3) && refused(&fixture, 4), eq(true));
 }
 
 #[gtest]
 fn other_leaving_members_do_not_extend_a_primarys_drain_time() {
-    let mut bench = Fixture::new(0);
+    let mut fixture = Fixture::new(0);
     let members = (0..3).map(|i| member(i, true)).collect();
-    bench.group.set_plan(plan(members), bench.now);
-    report_primary_for(&mut bench, ms(1_000));
-    bench.submit_write(1);
-    expect_that!(assigned(&bench, 1), eq(true));
-    report_primary_for(&mut bench, DRAIN - ms(1_500));
-    bench.submit_write(2);
-    expect_that!(assigned(&bench, 2), eq(false));
-    expect_that!(refused(&bench, 2), eq(true));
+    fixture.group.set_plan(plan(members), fixture.now);
+    report_primary_for(&mut fixture, ms(1_000));
+    fixture.submit_write(1);
+    expect_that!(assigned(&fixture, 1), eq(true));
+    report_primary_for(&mut fixture, DRAIN - ms(1_500));
+    fixture.submit_write(2);
+    expect_that!(assigned(&fixture, 2), eq(false));
+    expect_that!(refused(&fixture, 2), eq(true));
 }
 
 #[gtest]
 fn a_changed_list_does_not_extend_the_drain_time() {
-    let mut bench = last_member_leaves();
-    report_primary_for(&mut bench, ms(3_000));
+    let mut fixture = last_member_leaves();
+    report_primary_for(&mut fixture, ms(3_000));
     let joined = vec![member(0, true), member(1, true)];
-    bench.group.set_plan(plan(joined), bench.now);
-    report_primary_for(&mut bench, DRAIN - ms(3_500));
-    bench.submit_write(1);
-    expect_that!(assigned(&bench, 1), eq(false));
+    fixture.group.set_plan(plan(joined), fixture.now);
+    report_primary_for(&mut fixture, DRAIN - ms(3_500));
+    fixture.submit_write(1);
+    expect_that!(assigned(&fixture, 1), eq(false));
 }
 
 /// Guards against a drain time that is counted from the promotion.
 #[gtest]
 fn a_promotion_does_not_extend_the_drain_time() {
-    let mut bench = Fixture::new(0);
+    let mut fixture = Fixture::new(0);
     let members = (0..3).map(|i| member(i, true)).collect();
-    bench.group.set_plan(plan(members), bench.now);
-    report_primary_for(&mut bench, ms(4_000));
-    bench.report(1, status(Role::Primary, 2, 2, 11));
-    bench.report(0, status(Role::Replica, 2, 2, 11));
-    bench.report(2, status(Role::Replica, 2, 2, 11));
-    bench.submit_write(1);
-    expect_that!(assigned(&bench, 1), eq(true));
+    fixture.group.set_plan(plan(members), fixture.now);
+    report_primary_for(&mut fixture, ms(4_000));
+    fixture.report(1, status(Role::Primary, 2, 2, 11));
+    fixture.report(0, status(Role::Replica, 2, 2, 11));
+    fixture.report(2, status(Role::Replica, 2, 2, 11));
+    fixture.submit_write(1);
+    expect_that!(assigned(&fixture, 1), eq(true));
     for _ in 0..50 {
-        bench.now += ms(50);
-        bench.report(1, status(Role::Primary, 2, 2, 11));
+        fixture.now += ms(50);
+        fixture.report(1, status(Role::Primary, 2, 2, 11));
     }
-    bench.submit_write(2);
-    expect_that!(assigned(&bench, 2), eq(false));
+    fixture.submit_write(2);
+    expect_that!(assigned(&fixture, 2), eq(false));
 }
 
 /// Guards against a drain time that is counted from the moment at which the box took over.
@@ -124,11 +126,11 @@
             departures,
             ..Plan::clone(&plan)
         });
-        let mut bench = Fixture::with_plan(plan, 0, now);
-        bench.report(0, status(Role::Primary, 1, 1, 10));
-        bench.submit_write(1);
+        let mut fixture = Fixture::with_plan(plan, 0, now);
+        fixture.report(0, status(Role::Primary, 1, 1, 10));
+        fixture.submit_write(1);
         expect_that!(
-            assigned(&bench, 1),
+            assigned(&fixture, 1),
             eq(served),
             "an announcement {age:?} old"
         );
@@ -138,38 +140,38 @@
 /// Guards against requests that were queued in time and are sent after the drain time.
 #[gtest]
 fn requests_queued_at_the_end_of_the_drain_time_are_refused() {
-    let mut bench = last_member_leaves();
-    report_primary_for(&mut bench, ms(4_400));
+    let mut fixture = last_member_leaves();
+    report_primary_for(&mut fixture, ms(4_400));
     let first = 100;
     let queued = (first..).find(|id| {
-        bench.submit_write(*id);
-        !assigned(&bench, *id)
+        fixture.submit_write(*id);
+        !assigned(&fixture, *id)
     });
     let queued = queued.expect("the member's slots are limited");
-    report_primary_for(&mut bench, ms(200));
+    report_primary_for(&mut fixture, ms(200));
     let took = ms(200);
-    bench.handle(Event::SlotReleased { member: 0, took });
-    expect_that!(assigned(&bench, queued), eq(false));
-    expect_that!(refused(&bench, queued), eq(true));
+    fixture.handle(Event::SlotReleased { member: 0, took });
+    expect_that!(assigned(&fixture, queued), eq(false));
+    expect_that!(refused(&fixture, queued), eq(true));
 }
 
 /// Guards against an idle group that notices the end only with its next probe, and sends
 /// requests until then.
 #[gtest]
 fn an_idle_group_ticks_when_a_members_drain_time_is_over() {
-    let mut bench = last_member_leaves();
-    let announced = bench.now;
+    let mut fixture = last_member_leaves();
+    let announced = fixture.now;
     let mut ticks = 0;
     let over = |a: &Action| matches!(a, Action::Log(Note::DrainExpired { .. }));
-    while bench.count_actions(over) == 0 && bench.now < announced + DRAIN {
-        bench.now = bench.group.next_tick().max(bench.now + ms(1));
-        bench.handle(Event::Tick);
+    while fixture.count_actions(over) == 0 && fixture.now < announced + DRAIN {
+        fixture.now = fixture.group.next_tick().max(fixture.now + ms(1));
+        fixture.handle(Event::Tick);
         ticks += 1;
-        if bench.count_actions(over) == 0 {
-            bench.report(0, status(Role::Primary, 1, 1, 10));
+        if fixture.count_actions(over) == 0 {
+            fixture.report(0, status(Role::Primary, 1, 1, 10));
         }
     }
-    expect_that!(bench.now, eq(announced + group_settings().drain_limit));
+    expect_that!(fixture.now, eq(announced + group_settings().drain_limit));
     // The group does not tick all the time while a hand-over is due.
     expect_that!(ticks, le(20));
 }
@@ -281,13 +283,23 @@
     };
     expect_that!(leaving(&departures, &copy), eq(true));
     // The same announcement, written again, keeps its age.
-    let again = declared(&mut store, Revision::new(2, 26), declaration(true, 5));
-    departures.update((&copy, &again), &DepartureAges::new(), max_age, ms(3_000));
+    let repeated = declared(&mut store, Revision::new(2, 26), declaration(true, 5));
+    departures.update(
+        (&copy, &repeated),
+        &DepartureAges::new(),
+        max_age,
+        ms(3_000),
+    );
     let key: Arc<str> = "resource/member/p/g.m0".into();
     expect_that!(departures.ages(ms(3_000))[&key], some(eq(2_000)));
     // Within one era of the table, the member itself may withdraw its announcement.
     let stays = declared(&mut store, Revision::new(2, 30), declaration(false, 5));
-    departures.update((&again, &stays), &DepartureAges::new(), max_age, ms(4_000));
+    departures.update(
+        (&repeated, &stays),
+        &DepartureAges::new(),
+        max_age,
+        ms(4_000),
+    );
     expect_that!(leaving(&departures, &stays), eq(false));
 }
 
@@ -348,23 +360,27 @@
         (ms(9_000), ms(3_000)),
     ];
     for (age, end) in known {
-        let mut bench = Fixture::with_plan(plan(vec![member(0, false)]), 0, ms(0));
-        report_primary_for(&mut bench, ms(1_000));
-        let departure = Departure::with_age(bench.now, Some(age));
+        let mut fixture = Fixture::with_plan(plan(vec![member(0, false)]), 0, ms(0));
+        report_primary_for(&mut fixture, ms(1_000));
+        let departure = Departure::with_age(fixture.now, Some(age));
         let departures = [("m0".into(), departure)].into();
         let unlisted = Arc::new(Plan {
             departures,
             ..Plan::clone(&plan(vec![member(1, true)]))
         });
-        let learned = bench.now;
-        bench.group.set_plan(unlisted, learned);
-        report_primary_for(&mut bench, end - ms(100));
-        bench.submit_write(1);
-        expect_that!(assigned(&bench, 1), eq(true), "an announcement {age:?} old");
-        report_primary_for(&mut bench, ms(200));
-        bench.submit_write(2);
+        let learned = fixture.now;
+        fixture.group.set_plan(unlisted, learned);
+        report_primary_for(&mut fixture, end - ms(100));
+        fixture.submit_write(1);
+        expect_that!(
+            assigned(&fixture, 1),
+            eq(true),
+            "an announcement {age:?} old"
+        );
+        report_primary_for(&mut fixture, ms(200));
+        fixture.submit_write(2);
         expect_that!(
-            assigned(&bench, 2),
+            assigned(&fixture, 2),
             eq(false),
             "an announcement {age:?} old"
         );
@@ -374,56 +390,56 @@
 /// Guards against a panic: a promoted member must be in the group.
 #[gtest]
 fn a_member_is_not_removed_while_it_is_promoted() {
-    let mut bench = Fixture::new(0);
+    let mut fixture = Fixture::new(0);
     let listed = vec![member(0, false), member(2, false)];
-    bench.group.set_plan(plan(listed), bench.now);
-    let removal = bench.now + group_settings().missing_grace;
-    while bench.now < removal - ms(300) {
-        bench.now += ms(100);
-        bench.report_all();
+    fixture.group.set_plan(plan(listed), fixture.now);
+    let removal = fixture.now + group_settings().missing_grace;
+    while fixture.now < removal - ms(300) {
+        fixture.now += ms(100);
+        fixture.report_all();
     }
-    bench.start_ballot();
-    bench.grant_fence(1, 12);
-    bench.grant_fence(2, 11);
-    let term = bench.ballot_term();
-    bench.handle(Event::LeasesRevoked { term });
+    fixture.start_ballot();
+    fixture.grant_fence(1, 12);
+    fixture.grant_fence(2, 11);
+    let term = fixture.ballot_term();
+    fixture.handle(Event::LeasesRevoked { term });
     let promote = Action::Promote { member: 1, term };
-    expect_that!(bench.actions, contains(eq(&promote)));
-    bench.advance(ms(400));
-    expect_that!(bench.now, gt(removal));
+    expect_that!(fixture.actions, contains(eq(&promote)));
+    fixture.advance(ms(400));
+    expect_that!(fixture.now, gt(removal));
     let answer = Ok(status(Role::Primary, 2, 2, 12));
-    bench.handle(Event::Promoted { term, answer });
-    expect_that!(bench.group.primary(), some(eq(1)));
+    fixture.handle(Event::Promoted { term, answer });
+    expect_that!(fixture.group.primary(), some(eq(1)));
 }
 
 /// The same for the late answer to a probe.
 #[gtest]
 fn a_removed_member_is_not_adopted_as_primary() {
-    let mut bench = Fixture::new(0);
+    let mut fixture = Fixture::new(0);
     let listed = vec![member(0, false), member(2, false)];
-    bench.group.set_plan(plan(listed), bench.now);
+    fixture.group.set_plan(plan(listed), fixture.now);
     for _ in 0..35 {
-        bench.now += ms(100);
-        bench.report_all();
+        fixture.now += ms(100);
+        fixture.report_all();
     }
-    bench.report(1, status(Role::Primary, 2, 2, 12));
-    expect_that!(bench.group.primary(), some(eq(0)));
+    fixture.report(1, status(Role::Primary, 2, 2, 12));
+    expect_that!(fixture.group.primary(), some(eq(0)));
 }
 
 #[gtest]
 fn a_leaving_replica_gets_no_reads() {
-    let mut bench = Fixture::new(0);
+    let mut fixture = Fixture::new(0);
     let members = (0..3).map(|i| member(i, i == 1)).collect();
-    bench.group.set_plan(plan(members), bench.now);
+    fixture.group.set_plan(plan(members), fixture.now);
     let reads = 1..40;
     for id in reads.clone() {
-        bench.report_all();
-        bench.submit_read(id, ms(2_500));
+        fixture.report_all();
+        fixture.submit_read(id, ms(2_500));
         let took = ms(5);
         for index in [0, 2] {
             let sent = |a: &Action| matches!(a, Action::Assign { id: sent, member, .. } if *sent == id && *member == index);
-            if bench.count_actions(sent) > 0 {
-                bench.handle(Event::SlotReleased {
+            if fixture.count_actions(sent) > 0 {
+                fixture.handle(Event::SlotReleased {
                     member: index,
                     took,
                 });
@@ -431,7 +447,8 @@
         }
     }
     let to = |member: usize| {
-        bench.count_actions(|a| matches!(a, Action::Assign { member: sent, .. } if *sent == member))
+        fixture
+            .count_actions(|a| matches!(a, Action::Assign { member: sent, .. } if *sent == member))
     };
     expect_that!(to(1), eq(0));
     expect_that!(to(0) + to(2), eq(reads.count()));
@@ -441,18 +458,18 @@
 /// have time to receive them before they are fenced.
 #[gtest]
 fn a_leaving_primary_is_fenced_before_its_replicas() {
-    let mut bench = Fixture::new(0);
+    let mut fixture = Fixture::new(0);
     let members = (0..3).map(|i| member(i, i == 0)).collect();
-    bench.group.set_plan(plan(members), bench.now);
-    bench.advance(ms(200));
-    bench.handle(Event::DutyClaimed { won: true });
-    let fenced = |bench: &Fixture, index: usize| {
-        bench.count_actions(|a| matches!(a, Action::Fence { member, .. } if *member == index))
+    fixture.group.set_plan(plan(members), fixture.now);
+    fixture.advance(ms(200));
+    fixture.handle(Event::DutyClaimed { won: true });
+    let fenced = |fixture: &Fixture, index: usize| {
+        fixture.count_actions(|a| matches!(a, Action::Fence { member, .. } if *member == index))
     };
-    expect_that!(fenced(&bench, 0), eq(1));
-    expect_that!(fenced(&bench, 1) + fenced(&bench, 2), eq(0));
-    bench.advance(group_settings().failover.catch_up);
-    expect_that!(fenced(&bench, 1) + fenced(&bench, 2), eq(2));
+    expect_that!(fenced(&fixture, 0), eq(1));
+    expect_that!(fenced(&fixture, 1) + fenced(&fixture, 2), eq(0));
+    fixture.advance(group_settings().failover.catch_up);
+    expect_that!(fenced(&fixture, 1) + fenced(&fixture, 2), eq(2));
 }
 
 /// A settings file may set another drain time than the default of 7 s.
@@ -475,18 +492,18 @@
 #[gtest]
 fn the_shorter_of_two_drain_limits_holds_for_a_leaving_member() {
     for (before, after) in [(ms(7_000), ms(3_000)), (ms(3_000), ms(7_000))] {
-        let mut bench = Fixture::new(0);
-        bench.group.set_drain_limit(before);
+        let mut fixture = Fixture::new(0);
+        fixture.group.set_drain_limit(before);
         let alone = |leaving| plan(vec![member(0, leaving)]);
-        bench.group.set_plan(alone(false), bench.now);
-        report_primary_for(&mut bench, ms(4_000));
-        bench.group.set_plan(alone(true), bench.now);
-        report_primary_for(&mut bench, ms(1_000));
-        bench.group.set_drain_limit(after);
-        bench.submit_write(1);
-        expect_that!(assigned(&bench, 1), eq(true));
-        report_primary_for(&mut bench, ms(2_100));
-        bench.submit_write(2);
-        expect_that!(assigned(&bench, 2), eq(false));
+        fixture.group.set_plan(alone(false), fixture.now);
+        report_primary_for(&mut fixture, ms(4_000));
+        fixture.group.set_plan(alone(true), fixture.now);
+        report_primary_for(&mut fixture, ms(1_000));
+        fixture.group.set_drain_limit(after);
+        fixture.submit_write(1);
+        expect_that!(assigned(&fixture, 1), eq(true));
+        report_primary_for(&mut fixture, ms(2_100));
+        fixture.submit_write(2);
+        expect_that!(assigned(&fixture, 2), eq(false));
     }
 }
