--- a/tests/unit/setup.rs
+++ b/tests/unit/setup.rs
@@ -131,31 +131,28 @@
 /// the table.
 #[gtest]
 fn a_later_order_has_the_higher_generation_also_after_one_without_the_table() {
-    // The first box is cut off from the table. The second, whose ballot comes later, can't know
-    // the first one's generation, but has seen its term at the members.
+    // The first box, whose name hashes to the greater slot, is cut off from the table. The second,
+    // whose ballot comes later, can't know the first one's generation, but has seen its term at
+    // the members.
     let claim = |known: Option<&Duty>, holder: &str| Claim {
         duty: next_duty(known, &holder.into(), &ballot(3, 1)),
         unconfirmed: true,
     };
-    let first = claim(None, "edge-santiago-a-3");
-    let second = claim(None, "edge-santiago-b-2");
+    let first = claim(None, "box-a");
+    let second = claim(None, "box-b");
     let number = first.generation(&ballot(3, 1));
     expect_that!(second.generation(&ballot(3, 3)), gt(number));
     // The same if the second box has held the duty all along and the first box claimed it
     // next without the table.
-    let held = claim(None, "edge-santiago-b-2").duty;
-    let first = claim(Some(&held), "edge-santiago-a-3");
+    let held = claim(None, "box-b").duty;
+    let first = claim(Some(&held), "box-a");
     let number = first.generation(&ballot(3, 2));
-    let second = claim(Some(&held), "edge-santiago-b-2");
+    let second = claim(Some(&held), "box-b");
     expect_that!(second.generation(&ballot(3, 3)), gt(number));
     // The same after the promotion, whatever the terms of later ballots.
     expect_that!(second.generation(&ballot(4, 1)), gt(number));
     // The next holder's generation is above all generations of the previous holder.
-    let next = next_duty(
-        Some(&first.duty),
-        &"edge-santiago-b-2".into(),
-        &ballot(1, 1),
-    );
+    let next = next_duty(Some(&first.duty), &"box-b".into(), &ballot(1, 1));
     expect_that!(next.generation, gt(first.duty.generation));
 }
 
