--- a/src/decisions/group.rs
+++ b/src/decisions/group.rs
@@ -1,7 +1,7 @@
 //! Decisions about one group at one of its owners.
 //!
 //! [`Group::handle`] takes an event and the time, and returns actions. The state consists of
-//! the known state of each member, the waiting requests and the replacement in progress.
+//! the known state of each member, the waiting requests and the failover in progress.
 
 mod confirmation;
 mod dispatch;
@@ -64,7 +64,8 @@
     probe_wanted: bool,
     queue: Queue,
     latency: Latency,
-    /// Whether the newest report shows that the member does not lead, or may not lead on.
+    /// Whether the newest report shows that the member does not lead, or lost log entries and
+    /// must not lead.
     demoted: bool,
     /// Newest moment at which the member is known to have been in the present term: a primary
     /// led, or a replica received an entry that the primary wrote later.
@@ -80,11 +81,11 @@
     connection_limit: usize,
     /// When the connection limit is raised by one.
     next_limit_raise: Duration,
-    /// Since when the member is missing from the list.
+    /// Since when the member is missing from the list of members.
     missing_since: Option<Duration>,
     /// Set if the member announced that it leaves, or is missing from the list.
     departure: Option<Departure>,
-    /// The drain limit in force when this box heard that the member leaves.
+    /// The drain limit in force when this box learned that the member leaves.
     drain_limit: Option<Duration>,
     /// Whether the drain time is over.
     drain_expired: bool,
@@ -149,7 +150,7 @@
     }
 
     /// Time for which the member is served once it leaves: the shorter of the present limit
-    /// and the limit when this box heard of the departure, since other boxes may use either.
+    /// and the limit when this box learned of the departure, since other boxes may use either.
     fn drain_time(&self, settings: &Settings) -> Duration {
         let present = settings.drain_limit;
         self.drain_limit.map_or(present, |limit| limit.min(present))
@@ -179,8 +180,9 @@
     settings: Settings,
     domain: Arc<str>,
     members: Vec<Member>,
-    replace: Failover,
-    confirm: Waiters,
+    failover: Failover,
+    /// Answered writes and reads that wait for confirmation.
+    unconfirmed: Waiters,
     history: History,
     /// Newest position of the present term that a majority is known to hold.
     majority_position: Position,
@@ -191,7 +193,7 @@
     draining_primary: Option<usize>,
     /// When the hand-over of the leaving primary is checked again.
     next_handover_check: Option<Duration>,
-    /// When the lease was last given up. Only later observations count for it.
+    /// When the lease was last given up. Only later observations count for a new one.
     lease_revoked_at: Duration,
     /// Whether the boxes that may promote know of this box, so that it may use the lease.
     listed: bool,
@@ -199,7 +201,7 @@
     owners: u32,
     /// Factor on the probe periods of a box with many groups.
     load_factor: u32,
-    /// Earlier and new index of restarted members that are still to be handled.
+    /// Earlier and new index of each restarted member whose restart is not handled yet.
     pending_restarts: Vec<(usize, usize)>,
 }
 
@@ -249,11 +251,11 @@
         let member = |spec: &MemberSpec| Member::new(spec.clone(), capacity, &settings, now);
         let members: Vec<Member> = plan.members.iter().map(member).collect();
         let mut group = Self {
-            replace: Failover::new(settings.replace, members.len(), rank),
+            failover: Failover::new(settings.failover, members.len(), rank),
             settings,
             domain,
             members,
-            confirm: Waiters::default(),
+            unconfirmed: Waiters::default(),
             history: History::default(),
             majority_position: Position::ZERO,
             waiting: Waiting::default(),
@@ -291,11 +293,11 @@
     }
 
     pub fn term(&self) -> u64 {
-        self.replace.term
+        self.failover.term
     }
 
     pub fn primary(&self) -> Option<usize> {
-        self.replace.primary
+        self.failover.primary
     }
 
     /// Whether this owner suspects each member, by index.
@@ -306,7 +308,7 @@
     /// Sets this owner's rank, and the factor by which a box with many groups probes less
     /// often.
     pub fn set_rank(&mut self, rank: u32, load_factor: u32) {
-        self.replace.set_rank(rank);
+        self.failover.set_rank(rank);
         self.load_factor = load_factor;
         self.update_probe_periods();
     }
@@ -315,11 +317,11 @@
     /// rate, which limits the control traffic.
     fn update_probe_periods(&mut self) {
         let settings = self.settings;
-        let rank_factor = match self.replace.rank() {
+        let rank_factor = match self.failover.rank() {
             0 => 1,
             _ => settings.secondary_period_factor,
         };
-        let primary = self.replace.primary;
+        let primary = self.failover.primary;
         for (i, member) in self.members.iter_mut().enumerate() {
             let role_factor = match primary {
                 Some(primary) if primary != i => settings.secondary_period_factor,
@@ -332,21 +334,21 @@
 
     /// The ballot from which the generation of this owner's promotion order is derived.
     pub fn ballot(&self) -> Ballot {
-        self.replace.ballot()
+        self.failover.ballot()
     }
 
-    /// The bid that this owner's ballot of `term` sends to a member.
-    pub fn bid(&self, term: u64) -> Fence {
+    /// The fence that this owner's ballot of `term` asks a member to accept.
+    pub fn fence_request(&self, term: u64) -> Fence {
         Fence {
             term,
-            replaced: self.replace.replaced_term(),
-            known_promise: self.replace.promised_before_ballot(),
+            replaced: self.failover.replaced_term(),
+            known_promise: self.failover.promised_before_ballot(),
         }
     }
 
     /// Whether this owner is replacing the primary.
     pub fn is_deposing(&self) -> bool {
-        self.replace.is_deposing()
+        self.failover.is_deposing()
     }
 
     /// Whether this owner reaches a majority; `None` while that is not known yet.
@@ -355,14 +357,14 @@
             return Some(true);
         }
         let probed = now >= self.started_at + self.settings.detect.period;
-        let known = self.replace.primary.is_some() || (probed && !self.may_see_majority());
+        let known = self.failover.primary.is_some() || (probed && !self.may_see_majority());
         known.then_some(false)
     }
 
     /// Whether this owner suspects the primary of `term`, for a peer that asks.
     pub fn suspects_primary(&self, term: u64) -> bool {
-        match self.replace.primary {
-            Some(primary) if self.replace.term <= term => self.members[primary].suspected,
+        match self.failover.primary {
+            Some(primary) if self.failover.term <= term => self.members[primary].suspected,
             Some(_) => false,
             None => true,
         }
@@ -412,7 +414,7 @@
             }
             Event::OpinionRequested => {
                 // Owners other than the first probe rarely.
-                if let Some(primary) = self.replace.primary {
+                if let Some(primary) = self.failover.primary {
                     self.members[primary].detector.expedite_probe(now);
                 }
             }
@@ -449,29 +451,31 @@
                 term,
                 answer,
             } => {
-                let steps = self.replace.handle_fence_answer(member, term, &answer, now);
+                let steps = self
+                    .failover
+                    .handle_fence_answer(member, term, &answer, now);
                 self.apply_steps(steps, now, &mut out);
             }
             Event::DutyClaimed { won } => {
-                let steps = self.replace.handle_claim(won, now);
+                let steps = self.failover.handle_claim(won, now);
                 self.apply_steps(steps, now, &mut out);
             }
-            Event::DutyTakenElsewhere => self.replace.record_rival_claim(now),
+            Event::DutyTakenElsewhere => self.failover.record_rival_claim(now),
             Event::RevokeLease => self.revoke_lease(now),
             Event::LeasesRevoked { term } => {
-                let steps = self.replace.handle_revoked(term, now);
+                let steps = self.failover.handle_revoked(term, now);
                 self.apply_steps(steps, now, &mut out);
             }
             Event::BoxListed { listed } => self.listed = listed,
             Event::Promoted { term, answer } => {
-                let steps = self.replace.handle_promotion_answer(term, &answer, now);
+                let steps = self.failover.handle_promotion_answer(term, &answer, now);
                 self.apply_steps(steps, now, &mut out);
             }
             Event::OpinionReceived {
                 from,
-                near,
+                same_domain,
                 suspects,
-            } => self.replace.record_opinion(from, near, suspects),
+            } => self.failover.record_opinion(from, same_domain, suspects),
             Event::PrimaryAnnounced { term, primary } => {
                 self.learn_primary(term, &primary, now, &mut out)
             }
@@ -497,9 +501,9 @@
 
     /// Asserts the invariants, after every event.
     fn check_invariants(&self) {
-        if let Some(primary) = self.replace.primary {
+        if let Some(primary) = self.failover.primary {
             assert!(primary < self.members.len(), "the primary is a member");
-            assert!(self.replace.term > 0, "a primary has a term");
+            assert!(self.failover.term > 0, "a primary has a term");
         }
         for id in self.waiting.for_primary.keys() {
             assert!(
@@ -525,14 +529,14 @@
         });
         let margin = match self.settings.wait_until_deadline {
             true => dispatch::REFUSAL_MARGIN,
-            false => self.settings.replace.ballot_timeout,
+            false => self.settings.failover.ballot_timeout,
         };
         let for_primary = self.waiting.for_primary.values();
         let for_primary = for_primary.map(|request| request.deadline.saturating_sub(margin));
         let for_position = self.waiting.for_position.values().map(|r| r.deadline);
         let for_replica = self.waiting.for_replica.values().map(|(_, until)| *until);
         let queued = self.members.iter().filter_map(|m| m.queue.next_expiry());
-        let lease = (!self.confirm.is_empty() && !self.settings.replace.lease.is_zero())
+        let lease = (!self.unconfirmed.is_empty() && !self.settings.failover.lease.is_zero())
             .then(|| self.settings.probe_gap.max(MIN_LEASE_PROBE_INTERVAL));
         let lease = lease.zip(self.members.iter().filter_map(|m| m.last_probe).max());
         let lease = lease.map(|(gap, probed)| probed + gap);
@@ -542,8 +546,8 @@
             .filter(|m| !m.drain_expired && !m.removed);
         let drained =
             draining.filter_map(|m| Some(m.departure?.time_at_age(m.drain_time(&self.settings))));
-        let replace = self.replace.wake().into_iter();
-        let replace = replace.chain(self.next_handover_check).chain(drained);
+        let failover = self.failover.wake().into_iter();
+        let failover = failover.chain(self.next_handover_check).chain(drained);
         let all = probes
             .chain(for_primary)
             .chain(for_position)
@@ -558,7 +562,7 @@
             .map(|m| m.next_limit_raise);
         let all = all
             .chain(queued)
-            .chain(replace)
+            .chain(failover)
             .chain(self.next_removal())
             .chain(lease)
             .chain(limited);
@@ -594,14 +598,14 @@
         let members = members.filter(|(_, member)| !member.superseded);
         GroupDump {
             id: self.plan.id.clone(),
-            term: self.replace.term,
+            term: self.failover.term,
             primary: self
-                .replace
+                .failover
                 .primary
                 .map(|primary| self.members[primary].spec.name.clone()),
-            phase: self.replace.phase(),
+            phase: self.failover.phase(),
             waiting_for_primary: self.waiting.for_primary.len(),
-            waiting_for_confirmation: self.confirm.len(),
+            waiting_for_confirmation: self.unconfirmed.len(),
             members: members.map(member).collect(),
         }
     }
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -176,7 +176,7 @@
 
     pub fn outcome(&self, wanted: u64) -> Option<Outcome> {
         self.actions.iter().find_map(|action| match action {
-            Action::Settle { id, outcome } if *id == wanted => Some(*outcome),
+            Action::ReportOutcome { id, outcome } if *id == wanted => Some(*outcome),
             _ => None,
         })
     }
@@ -185,13 +185,14 @@
         self.actions.iter().filter(|action| wanted(action)).count()
     }
 
-    /// Breaks the primary, lets the other boxes agree, and wins the duty.
+    /// Starts a ballot: the primary fails, the other boxes suspect it too, and this box wins the
+    /// duty.
     pub fn start_ballot(&mut self) {
         self.handle(Event::ConnectionLost { member: 0 });
         for name in ["b1", "b2"] {
             self.handle(Event::OpinionReceived {
                 from: name.into(),
-                near: false,
+                same_domain: false,
                 suspects: true,
             });
         }
@@ -355,7 +356,7 @@
         eq(1)
     );
     expect_that!(fixture.count_actions(promotes), eq(0));
-    let lease = settings().replace.lease;
+    let lease = settings().failover.lease;
     fixture.advance(lease - ms(20));
     let term = fixture.ballot_term();
     fixture.report(1, status(Role::Replica, 1, term, 12));
@@ -385,7 +386,7 @@
     fixture.start_ballot();
     fixture.grant_fence(1, 12);
     fixture.grant_fence(2, 10);
-    let lease = settings().replace.lease;
+    let lease = settings().failover.lease;
     fixture.advance(lease - ms(20));
     let term = fixture.ballot_term();
     fixture.report(1, status(Role::Replica, 1, term, 12));
@@ -412,7 +413,7 @@
     let probes =
         |fixture: &Fixture| fixture.count_actions(|a| matches!(a, Action::Probe { member: 1 }));
     let before = probes(&fixture);
-    fixture.advance(settings().replace.lease + ms(20));
+    fixture.advance(settings().failover.lease + ms(20));
     expect_that!(fixture.count_actions(promotes), eq(0));
     expect_that!(probes(&fixture), gt(before));
 }
@@ -445,7 +446,7 @@
     fixture.handle(Event::ConnectionLost { member: 0 });
     fixture.handle(Event::OpinionReceived {
         from: "b1".into(),
-        near: false,
+        same_domain: false,
         suspects: true,
     });
     fixture.report(1, status(Role::Replica, 1, 1, 10));
@@ -468,7 +469,7 @@
     for (name, suspects) in [("b1", false), ("b2", false), ("b3", true)] {
         fixture.handle(Event::OpinionReceived {
             from: name.into(),
-            near: false,
+            same_domain: false,
             suspects,
         });
     }
@@ -499,7 +500,7 @@
             answer,
         });
     }
-    // The primary is healthy after all.
+    // A later report shows that the primary still leads.
     fixture.report(0, status(Role::Primary, 1, 1, 10));
 }
 
@@ -542,7 +543,8 @@
     expect_that!(fixture.count_actions(|a| *a == Action::ClaimDuty), gt(1));
 }
 
-/// The list entry of a member beyond a partition lapses although the member may lead there.
+/// The entry of a member beyond a partition may expire although the member was promoted there.
+/// Guards against releasing the fence then.
 #[gtest]
 fn a_fence_is_kept_after_the_possibly_promoted_member_left_the_list() {
     let mut fixture = Fixture::new(0);
@@ -582,7 +584,7 @@
 }
 
 /// A replica may receive a new primary's entries before it reports the new term. Guards
-/// against taking them for the old primary's last write.
+/// against counting these entries as writes of the old primary.
 #[gtest]
 fn entries_of_a_later_term_do_not_count_for_the_reported_term() {
     let row = "DATA replica 1 2.136 0 0 0 8";
@@ -605,7 +607,7 @@
     for name in ["b1", "b2"] {
         fixture.handle(Event::OpinionReceived {
             from: name.into(),
-            near: false,
+            same_domain: false,
             suspects: true,
         });
     }
@@ -777,7 +779,7 @@
     );
 }
 
-/// Some members never announce that they leave: their entry is removed while they still serve.
+/// Guards against statements to a member whose entry is removed without an announcement.
 #[gtest]
 fn a_primary_missing_from_the_list_stops_getting_statements_in_time() {
     let mut fixture = Fixture::new(0);
@@ -790,7 +792,7 @@
             fixture.report_all();
         }
     };
-    // The entry may only have lapsed while the table was unreachable.
+    // The entry may have expired while the table was unreachable.
     report_until(&mut fixture, ms(2_800));
     expect_that!(fixture.count_actions(|a| *a == Action::ClaimDuty), eq(0));
     fixture.submit_write(1);
@@ -844,7 +846,7 @@
         fixture.ballot_term(),
         fixture.count_actions(|a| matches!(a, Action::Fence { .. })),
     );
-    expect_that!(fixture.group.bid(term).known_promise, eq(1));
+    expect_that!(fixture.group.fence_request(term).known_promise, eq(1));
     // Two members have granted another box's fence meanwhile.
     for member in [1, 2] {
         let answer = Err(MemberError::Fenced { promised: term + 1 });
@@ -873,7 +875,10 @@
         gt(fences)
     );
     expect_that!(
-        fixture.group.bid(fixture.ballot_term()).known_promise,
+        fixture
+            .group
+            .fence_request(fixture.ballot_term())
+            .known_promise,
         eq(term + 1)
     );
 }
--- a/tests/unit/orders.rs
+++ b/tests/unit/orders.rs
@@ -58,7 +58,7 @@
     Fence {
         owner: usize,
         member: usize,
-        bid: Fence,
+        request: Fence,
     },
     /// The second half of a fence.
     GrantFence {
@@ -182,7 +182,7 @@
         self.steps.insert(self.next_id, step);
     }
 
-    /// Draws the delay of one message; some messages reach a busy member.
+    /// Draws the delay of one message; a tenth of them are slow, as for a busy member.
     fn delay(&mut self) -> Duration {
         match self.rng.random_range(0..10) {
             0 => ms(self.rng.random_range(20..250)),
@@ -224,8 +224,12 @@
                 began,
             }),
             Action::Fence { member, term } => {
-                let bid = self.boxes[owner].bid(term);
-                self.send(Step::Fence { owner, member, bid });
+                let request = self.boxes[owner].fence_request(term);
+                self.send(Step::Fence {
+                    owner,
+                    member,
+                    request,
+                });
             }
             Action::ReleaseFence { member } => self.send(Step::ReleaseFence { member }),
             Action::Follow { member, term, .. } => self.send(Step::Follow { member, term }),
@@ -259,7 +263,7 @@
                 let term = self.boxes[owner].term();
                 let event = Event::OpinionReceived {
                     from: "other".into(),
-                    near: false,
+                    same_domain: false,
                     suspects: self.boxes[1 - owner].suspects_primary(term),
                 };
                 self.send(Step::Deliver(owner, event));
@@ -326,7 +330,11 @@
                 member,
                 began,
             } => self.send_status(owner, member, began),
-            Step::Fence { owner, member, bid } => self.fence(owner, member, bid),
+            Step::Fence {
+                owner,
+                member,
+                request,
+            } => self.fence(owner, member, request),
             Step::GrantFence {
                 owner,
                 member,
@@ -409,14 +417,14 @@
         self.schedule(after, Step::Deliver(owner, event));
     }
 
-    fn fence(&mut self, owner: usize, member: usize, bid: Fence) {
+    fn fence(&mut self, owner: usize, member: usize, request: Fence) {
         let node = self.members[member];
         let promised = node.status().promised;
-        let superseded = promised > bid.known_promise.max(bid.replaced);
-        let term = bid.term;
+        let superseded = promised > request.known_promise.max(request.replaced);
+        let term = request.term;
         let answer = match node.unreachable {
             true => Err(MemberError::TimedOut),
-            false if node.term > bid.replaced || superseded => {
+            false if node.term > request.replaced || superseded => {
                 Err(MemberError::Fenced { promised })
             }
             false => {
